--- a/bench/commits.ts
+++ b/bench/commits.ts
@@ -23,8 +23,8 @@
 import {Listener} from '../src/wire/connection.js';
 import {decodeValue, encodeValue} from '../src/wire/frame.js';
 import {findPort, ProcessFleet, waitUntil} from '../dev/fleet.js';
-import {book, findLeader} from '../dev/calls.js';
-import {describeTimes, type Times} from './statistics.js';
+import {bookSeat, findLeader} from '../dev/client.js';
+import {summarizeDurations, type DurationPercentiles} from './statistics.js';
 
 const {values} = parseArgs({
 	options: {
@@ -63,7 +63,7 @@
 	const seconds = (performance.now() - startedMs) / 1000;
 	await group.stop();
 	print({
-		subject: 'commits', replicas: plan.replicas, inFlight: plan.inFlight, mode: plan.batched ? 'batched' : 'one fsync an entry', perSecond: Math.round(times.length / seconds), ...describeTimes(times),
+		subject: 'commits', replicas: plan.replicas, inFlight: plan.inFlight, mode: plan.batched ? 'batched' : 'one fsync an entry', perSecond: Math.round(times.length / seconds), ...summarizeDurations(times),
 	});
 }
 
@@ -170,21 +170,21 @@
 /** Kills the leader process again and again; the clock runs from the signal to the next answered booking. */
 async function measureKills(kills: number): Promise<void> {
 	const fleet = await ProcessFleet.start({
-		controls: 3, entries: 1, engines: 0, plains: 1, logLevel: 'warn',
+		controlHosts: 3, entryHosts: 1, engines: 0, plainServers: 1, logLevel: 'warn',
 	});
 	const entry = fleet.hosts[3]!;
 	await fetch(`${entry.url}/api/v1/resources/service/booking`, {
 		method: 'PUT', body: JSON.stringify({specification: {kind: 'service', routes: [{method: 'POST', path: '/booking/seats', repeatable: false}]}}),
 	});
-	await waitUntil(async () => (await book(entry.url, 'warm')).status === 200, 'bookings');
+	await waitUntil(async () => (await bookSeat(entry.url, 'warm')).status === 200, 'bookings');
 	const times: number[] = [];
 	for (let kill = 0; kill < kills; kill++) {
 		const leader = (await findLeader(fleet, entry))!;
 		const killedMs = performance.now();
 		leader.child.kill('SIGKILL');
-		await waitUntil(async () => (await book(entry.url, `kill-${kill}`)).status === 200, 'a booking after the kill');
+		await waitUntil(async () => (await bookSeat(entry.url, `kill-${kill}`)).status === 200, 'a booking after the kill');
 		times.push(performance.now() - killedMs);
-		await fleet.restart(leader, {wipe: false});
+		await fleet.restartHost(leader, {wipe: false});
 		await waitUntil(async () => {
 			const {progress} = await (await fetch(`${entry.url}/api/v1/members`)).json() as {progress: Array<{alive: boolean}>};
 			return progress.every(({alive}) => alive);
@@ -192,7 +192,7 @@
 	}
 
 	await fleet.stop();
-	print({subject: 'leader kill to next commit', kills, ...describeTimes(times)});
+	print({subject: 'leader kill to next commit', kills, ...summarizeDurations(times)});
 }
 
 /** Opens a data folder after many changes, as a restart does. */
@@ -229,7 +229,7 @@
 	}
 
 	await group.stop();
-	print({subject: 'restart', changes, ...describeTimes(times)});
+	print({subject: 'restart', changes, ...summarizeDurations(times)});
 }
 
 /** Changes of the same few resources, as operators make them. */
@@ -239,7 +239,7 @@
 	};
 }
 
-function print(row: Row & Partial<Times>): void {
+function print(row: Row & Partial<DurationPercentiles>): void {
 	console.log(values.json ? JSON.stringify(row) : Object.entries(row).map(([name, value]) => `${name} ${typeof value === 'number' ? Math.round(value * 100) / 100 : value}`).join(', '));
 }
 
--- a/bench/entry.ts
+++ b/bench/entry.ts
@@ -15,7 +15,7 @@
 import {parseArgs} from 'node:util';
 import {Agent, request as undiciRequest} from 'undici';
 import {
-	endProcess, findPort, ProcessFleet, waitUntil,
+	killProcess, findPort, ProcessFleet, waitUntil,
 } from '../dev/fleet.js';
 import {percentile} from './statistics.js';
 
@@ -62,7 +62,7 @@
 
 async function measure(count: number): Promise<void> {
 	const fleet = await ProcessFleet.start({
-		controls: 1, entries: count, engines: 0, plains: 0, logLevel: 'info',
+		controlHosts: 1, entryHosts: count, engines: 0, plainServers: 0, logLevel: 'info',
 	});
 	const stubs: ChildProcess[] = [];
 	const enginePort = await findPort();
@@ -96,7 +96,7 @@
 		stub.kill('SIGKILL');
 	}
 
-	await Promise.all(fleet.hosts.map(async host => endProcess(host)));
+	await Promise.all(fleet.hosts.map(async host => killProcess(host)));
 	await fleet.stop();
 }
 
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -14,13 +14,13 @@
 import {parseArgs} from 'node:util';
 import {PROFILES} from '../src/routing/roles.js';
 import {
-	ALL_FEATURES, GreedyPolicy, NaivePolicy, OwnPolicy, type Features, type Policy,
+	DEFAULT_FEATURES, GreedyPolicy, NaivePolicy, CarawayhoistPolicy, type Features, type Policy,
 } from './policy/policies.js';
-import {boundGoodput, simulate, type Result} from './policy/simulate.js';
+import {computeGoodputBound, simulate, type SimulationResult} from './policy/simulation.js';
 import {
 	formatTrace, generateTrace, TRACE_NAMES, type TraceName,
 } from './policy/trace.js';
-import {describeSpread} from './statistics.js';
+import {computeSpread} from './statistics.js';
 
 const {values} = parseArgs({
 	options: {
@@ -35,7 +35,7 @@
 });
 
 type ProfileName = keyof typeof PROFILES;
-type Row = Omit<Result, 'unanswered' | 'enginesLost' | 'lateFirst'> & {readonly trace: TraceName; readonly profile: ProfileName; readonly seed: number; readonly policy: string};
+type Row = Omit<SimulationResult, 'unanswered' | 'enginesLost' | 'lateFirstTokens'> & {readonly trace: TraceName; readonly profile: ProfileName; readonly seed: number; readonly policy: string};
 
 const traces = values.trace === undefined ? TRACE_NAMES : TRACE_NAMES.filter(name => name === values.trace);
 const profiles = (values.profile === undefined ? ['tallgrass', 'hrafnsvik'] : [values.profile]) as ProfileName[];
@@ -70,7 +70,7 @@
 function runAll(name: TraceName, profile: ProfileName, seed: number): Row[] {
 	const trace = generateTrace(name, seed);
 	const policies: Array<readonly [string, Policy]> = [
-		['carawayhoist', new OwnPolicy(PROFILES[profile], seed)],
+		['carawayhoist', new CarawayhoistPolicy(PROFILES[profile], seed)],
 		['naive', new NaivePolicy()],
 		['greedy', new GreedyPolicy()],
 	];
@@ -78,7 +78,7 @@
 		trace: name, profile, seed, policy,
 	}, simulate(trace, instance)));
 	rows.push({
-		trace: name, profile, seed, policy: 'bound', goodput: boundGoodput(trace), refused: 0, late: 0, roleChanges: 0,
+		trace: name, profile, seed, policy: 'bound', goodput: computeGoodputBound(trace), refused: 0, late: 0, roleChanges: 0,
 	});
 	if (values.json) {
 		for (const row of rows) {
@@ -89,7 +89,7 @@
 	return rows;
 }
 
-function createRow(key: Pick<Row, 'trace' | 'profile' | 'seed' | 'policy'>, result: Result): Row {
+function createRow(key: Pick<Row, 'trace' | 'profile' | 'seed' | 'policy'>, result: SimulationResult): Row {
 	const {goodput, refused, late, roleChanges} = result;
 	return {
 		...key, goodput, refused, late, roleChanges,
@@ -100,7 +100,7 @@
 	for (const policy of ['carawayhoist', 'naive', 'greedy', 'bound']) {
 		const own = rows.filter(row => row.policy === policy);
 		const cells = (['goodput', 'refused', 'late', 'roleChanges'] as const).map(field => {
-			const {mean, deviation} = describeSpread(own.map(row => row[field]));
+			const {mean, deviation} = computeSpread(own.map(row => row[field]));
 			return `${field} ${mean.toFixed(2)} ±${deviation.toFixed(2)}`;
 		});
 		console.log(`${name.padEnd(10)} ${profile.padEnd(9)} ${policy.padEnd(12)} ${cells.join('  ')}`);
@@ -110,17 +110,17 @@
 /** Switches each mechanism off in turn. */
 function ablate(): void {
 	const features: Array<readonly [string, Features]> = [
-		['everything', ALL_FEATURES],
-		...(Object.keys(ALL_FEATURES) as Array<keyof Features>).map(name => [`${ALL_FEATURES[name] ? 'without' : 'with'} ${name}`, {...ALL_FEATURES, [name]: !ALL_FEATURES[name]}] as const),
+		['everything', DEFAULT_FEATURES],
+		...(Object.keys(DEFAULT_FEATURES) as Array<keyof Features>).map(name => [`${DEFAULT_FEATURES[name] ? 'without' : 'with'} ${name}`, {...DEFAULT_FEATURES, [name]: !DEFAULT_FEATURES[name]}] as const),
 	];
 	for (const name of traces) {
 		for (const profile of profiles) {
 			for (const [title, set] of features) {
-				const results = seeds.map(seed => simulate(generateTrace(name, seed), new OwnPolicy(PROFILES[profile], seed, set)));
-				const {mean, deviation} = describeSpread(results.map(({goodput}) => goodput));
-				const changes = describeSpread(results.map(({roleChanges}) => roleChanges)).mean;
-				const late = describeSpread(results.map(result => result.late)).mean;
-				const lateFirst = describeSpread(results.map(result => result.lateFirst)).mean;
+				const results = seeds.map(seed => simulate(generateTrace(name, seed), new CarawayhoistPolicy(PROFILES[profile], seed, set)));
+				const {mean, deviation} = computeSpread(results.map(({goodput}) => goodput));
+				const changes = computeSpread(results.map(({roleChanges}) => roleChanges)).mean;
+				const late = computeSpread(results.map(result => result.late)).mean;
+				const lateFirst = computeSpread(results.map(result => result.lateFirstTokens)).mean;
 				console.log(`${name.padEnd(10)} ${profile.padEnd(9)} ${title.padEnd(20)} goodput ${mean.toFixed(2)} ±${deviation.toFixed(2)}  roleChanges ${changes.toFixed(1)}  late ${late.toFixed(0)} (first token ${lateFirst.toFixed(0)})`);
 			}
 		}
--- a/bench/policy/engine.ts
+++ b/bench/policy/engine.ts
@@ -12,7 +12,7 @@
 	readonly outputTokens: number;
 	readonly blocks: readonly number[];
 	/** Tokens that came along from another engine. */
-	readonly imported: boolean;
+	readonly isImported: boolean;
 	/** Whether it ends after the first token, to go on elsewhere. */
 	readonly handsOff: boolean;
 	readonly poison: boolean;
@@ -31,9 +31,9 @@
 
 /** What an engine of this kind can do; the same numbers that the policy starts from. */
 export const ENGINE_SPEED: Speed = {prefillTokensPerMs: 16, stepMs: 14, stepMsPerRequest: 0.2};
-export const MAX_RUNNING = 52;
-export const KV_TOKENS = 64_000;
-export const AWAY_MS = 4000;
+export const MAX_RUNNING_REQUESTS = 52;
+export const KV_CACHE_TOKENS = 64_000;
+export const ROLE_CHANGE_MS = 4000;
 /** Prompt tokens that one step computes, by role: many at once serve prompts, few keep streams smooth. */
 const CHUNK_TOKENS: Readonly<Record<EngineRole, number>> = {prefill: 2048, mixed: 128, decode: 64};
 const TOKENS_PER_BLOCK = 64;
@@ -45,8 +45,8 @@
 	readonly name: string;
 	role: EngineRole;
 	/** Away until then: changing its role, restarting, or withdrawn. */
-	awayUntilMs = 0;
-	deaths = 0;
+	unavailableUntilMs = 0;
+	crashCount = 0;
 	readonly #cache = new Map<number, true>();
 	#waiting: EngineJob[] = [];
 	#running: RunningJob[] = [];
@@ -65,7 +65,7 @@
 		return {
 			running: this.#running.length,
 			waiting: this.#waiting.length,
-			prefillTokens: this.#running.reduce((sum, running) => sum + running.prefillLeft, 0) + this.#waiting.reduce((sum, job) => sum + (job.imported ? 0 : job.promptTokens), 0),
+			prefillTokens: this.#running.reduce((sum, running) => sum + running.prefillLeft, 0) + this.#waiting.reduce((sum, job) => sum + (job.isImported ? 0 : job.promptTokens), 0),
 			decodeTokens: this.#kvTokens(),
 		};
 	}
@@ -81,19 +81,19 @@
 
 	/** Changes the role; the engine must be idle, and is away for some seconds. */
 	changeRole(role: EngineRole, nowMs: number): void {
-		this.awayUntilMs = nowMs + AWAY_MS;
+		this.unavailableUntilMs = nowMs + ROLE_CHANGE_MS;
 		this.#roleAfter = role;
 		this.#cache.clear();
-		this.#schedule(AWAY_MS, () => {
+		this.#schedule(ROLE_CHANGE_MS, () => {
 			this.role = this.#roleAfter ?? this.role;
 		});
 	}
 
 	/** Dies with everything it runs. */
 	crash(nowMs: number, forMs: number): void {
-		this.deaths++;
+		this.crashCount++;
 		this.#generation++;
-		this.awayUntilMs = nowMs + forMs;
+		this.unavailableUntilMs = nowMs + forMs;
 		this.#cache.clear();
 		const lost = [...this.#running.map(({job}) => job), ...this.#waiting];
 		this.#running = [];
@@ -151,18 +151,18 @@
 	}
 
 	#admit(): void {
-		while (this.#waiting.length > 0 && this.#running.length < MAX_RUNNING) {
+		while (this.#waiting.length > 0 && this.#running.length < MAX_RUNNING_REQUESTS) {
 			const job = this.#waiting[0]!;
-			const isFitting = this.#kvTokens() + job.promptTokens + job.outputTokens <= KV_TOKENS;
+			const isFitting = this.#kvTokens() + job.promptTokens + job.outputTokens <= KV_CACHE_TOKENS;
 			if (!isFitting && this.#running.length > 0) {
 				return;
 			}
 
 			this.#waiting.shift();
 			const cachedBlocks = this.#countCached(job.blocks);
-			const cached = job.imported ? job.promptTokens : cachedBlocks * TOKENS_PER_BLOCK;
+			const cached = job.isImported ? job.promptTokens : cachedBlocks * TOKENS_PER_BLOCK;
 			// At least the last token is computed.
-			const prefillLeft = job.imported ? 0 : Math.max(1, job.promptTokens + job.offset - cached);
+			const prefillLeft = job.isImported ? 0 : Math.max(1, job.promptTokens + job.offset - cached);
 			this.#running.push({
 				job, prefillLeft, produced: 0, cachedBlocks,
 			});
--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -14,14 +14,14 @@
 import {
 	chooseRoleChange, DemandMeter, estimateWork, type Demand, type RoleProfile,
 } from '../../src/routing/roles.js';
-import {ENGINE_SPEED, KV_TOKENS, type SimulatedEngine} from './engine.js';
+import {ENGINE_SPEED, KV_CACHE_TOKENS, type SimulatedEngine} from './engine.js';
 import type {TraceRequest} from './trace.js';
 
-export type Choice
+export type PolicyDecision
 	= | {readonly type: 'refuse'}
 		| {readonly type: 'send'; readonly engine: SimulatedEngine; readonly handsOff: boolean};
 
-export type RoleStep = {
+export type RoleChange = {
 	readonly engine: SimulatedEngine;
 	readonly role: EngineRole;
 };
@@ -33,22 +33,22 @@
 export interface Policy {
 	readonly initialRole: (index: number) => EngineRole;
 	/** Whether crashes are judged, so that a request that causes them is stopped. */
-	readonly judgesPoison: boolean;
-	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): Choice;
-	continueAt(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): SimulatedEngine | undefined;
-	noteSent?(request: TraceRequest, id: number, engine: SimulatedEngine, nowMs: number): void;
-	noteFirstToken?(id: number, engine: SimulatedEngine, nowMs: number): void;
+	readonly detectsPoison: boolean;
+	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): PolicyDecision;
+	placeContinuation(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): SimulatedEngine | undefined;
+	recordSent?(request: TraceRequest, id: number, engine: SimulatedEngine, nowMs: number): void;
+	recordFirstToken?(id: number, engine: SimulatedEngine, nowMs: number): void;
 	/** Notes whether an answer's first token came in time. */
-	noteTimeliness?(request: TraceRequest, isOnTime: boolean): void;
-	noteEnd?(request: TraceRequest, id: number, engine: SimulatedEngine, cachedBlocks: number | undefined): void;
+	recordTimeliness?(request: TraceRequest, isOnTime: boolean): void;
+	recordEnd?(request: TraceRequest, id: number, engine: SimulatedEngine, cachedBlocks: number | undefined): void;
 	/** Takes the load reports, which are some time old. */
-	noteReports?(engines: readonly SimulatedEngine[], nowMs: number): void;
-	changeRoles(engines: readonly SimulatedEngine[], nowMs: number): RoleStep[];
+	recordLoadReports?(engines: readonly SimulatedEngine[], nowMs: number): void;
+	changeRoles(engines: readonly SimulatedEngine[], nowMs: number): RoleChange[];
 }
 
 /** Round robin over engines whose roles never change. */
 export class NaivePolicy implements Policy {
-	get judgesPoison(): boolean {
+	get detectsPoison(): boolean {
 		return false;
 	}
 
@@ -56,24 +56,24 @@
 
 	readonly initialRole = (): EngineRole => 'mixed';
 
-	place(_request: TraceRequest, usable: readonly SimulatedEngine[]): Choice {
+	place(_request: TraceRequest, usable: readonly SimulatedEngine[]): PolicyDecision {
 		this.#next++;
 		const engine = usable[this.#next % Math.max(1, usable.length)];
 		return engine ? {type: 'send', engine, handsOff: false} : {type: 'refuse'};
 	}
 
-	continueAt(_request: TraceRequest, usable: readonly SimulatedEngine[]): SimulatedEngine | undefined {
+	placeContinuation(_request: TraceRequest, usable: readonly SimulatedEngine[]): SimulatedEngine | undefined {
 		return usable[0];
 	}
 
-	changeRoles(): RoleStep[] {
+	changeRoles(): RoleChange[] {
 		return [];
 	}
 }
 
 /** The emptiest engine by each host's own lagged view; roles follow the demand at once. */
 export class GreedyPolicy implements Policy {
-	get judgesPoison(): boolean {
+	get detectsPoison(): boolean {
 		return false;
 	}
 
@@ -85,7 +85,7 @@
 
 	readonly initialRole = (index: number): EngineRole => index % 2 === 0 ? 'prefill' : 'decode';
 
-	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): Choice {
+	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): PolicyDecision {
 		noteDemand(this.#meter, request, nowMs);
 		this.#next++;
 		this.#host = this.#hosts[this.#next % this.#hosts.length]!;
@@ -96,22 +96,22 @@
 		return engine ? {type: 'send', engine, handsOff} : {type: 'refuse'};
 	}
 
-	continueAt(_request: TraceRequest, usable: readonly SimulatedEngine[]): SimulatedEngine | undefined {
+	placeContinuation(_request: TraceRequest, usable: readonly SimulatedEngine[]): SimulatedEngine | undefined {
 		const decoding = usable.filter(engine => engine.role === 'decode');
 		return this.#emptiest(decoding.length > 0 ? decoding : usable);
 	}
 
-	noteSent(request: TraceRequest, id: number, engine: SimulatedEngine, nowMs: number): void {
+	recordSent(request: TraceRequest, id: number, engine: SimulatedEngine, nowMs: number): void {
 		this.#hostOf.set(id, this.#host);
 		this.#host.begin(engine.name, String(id), {promptTokens: request.promptTokens, prefillTokens: request.promptTokens, outputTokens: request.outputTokens}, nowMs);
 	}
 
-	noteEnd(_request: TraceRequest, id: number, engine: SimulatedEngine): void {
+	recordEnd(_request: TraceRequest, id: number, engine: SimulatedEngine): void {
 		this.#hostOf.get(id)?.end(engine.name, String(id));
 		this.#hostOf.delete(id);
 	}
 
-	noteReports(engines: readonly SimulatedEngine[], nowMs: number): void {
+	recordLoadReports(engines: readonly SimulatedEngine[], nowMs: number): void {
 		for (const host of this.#hosts) {
 			for (const engine of engines) {
 				host.report(engine.name, engine.load, nowMs);
@@ -119,7 +119,7 @@
 		}
 	}
 
-	changeRoles(engines: readonly SimulatedEngine[], nowMs: number): RoleStep[] {
+	changeRoles(engines: readonly SimulatedEngine[], nowMs: number): RoleChange[] {
 		const {prefill, decode} = this.#meter.read(nowMs);
 		const share = prefill / Math.max(0.01, prefill + decode);
 		const wanted = Math.min(engines.length - 1, Math.max(1, Math.round(engines.length * share)));
@@ -149,7 +149,7 @@
 	readonly margin: boolean;
 };
 
-export const ALL_FEATURES: Features = {
+export const DEFAULT_FEATURES: Features = {
 	prefix: false, handoff: true, refusal: true, roleChanges: true, sampling: true, ownWork: true, roles: true, margin: true,
 };
 
@@ -165,8 +165,8 @@
 const PREFILL_MAX_RUNNING = 52;
 
 /** Ours: many entry hosts, each with its own lagged view, and the leader's role policy. */
-export class OwnPolicy implements Policy {
-	get judgesPoison(): boolean {
+export class CarawayhoistPolicy implements Policy {
+	get detectsPoison(): boolean {
 		return true;
 	}
 
@@ -182,7 +182,7 @@
 	#next = 0;
 	#host: EntryHost;
 
-	constructor(profile: RoleProfile, seed: number, features = ALL_FEATURES) {
+	constructor(profile: RoleProfile, seed: number, features = DEFAULT_FEATURES) {
 		this.#profile = profile;
 		this.#features = features;
 		this.#random = createRandom(seed);
@@ -200,7 +200,7 @@
 
 	readonly initialRole = (index: number): EngineRole => this.#features.roles ? (index % 2 === 0 ? 'prefill' : 'decode') : 'mixed';
 
-	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): Choice {
+	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): PolicyDecision {
 		noteDemand(this.#meter, request, nowMs);
 		this.#next++;
 		this.#host = this.#hosts[this.#next % this.#hosts.length]!;
@@ -218,12 +218,12 @@
 		return {type: 'send', engine, handsOff: placement.handsOff};
 	}
 
-	continueAt(request: TraceRequest, usable: readonly SimulatedEngine[]): SimulatedEngine | undefined {
+	placeContinuation(request: TraceRequest, usable: readonly SimulatedEngine[]): SimulatedEngine | undefined {
 		const decision = placeContinuation(this.#shapeOf(request), this.#candidates(usable, request), this.#random, this.#choice);
 		return usable.find(({name}) => name === decision?.server);
 	}
 
-	noteSent(request: TraceRequest, id: number, engine: SimulatedEngine, nowMs: number): void {
+	recordSent(request: TraceRequest, id: number, engine: SimulatedEngine, nowMs: number): void {
 		this.#hostOf.set(id, this.#host);
 		const cached = this.#features.prefix ? this.#expectCached(engine, request) * 64 : 0;
 		if (this.#features.ownWork) {
@@ -233,16 +233,16 @@
 		}
 	}
 
-	noteFirstToken(id: number, engine: SimulatedEngine, nowMs: number): void {
+	recordFirstToken(id: number, engine: SimulatedEngine, nowMs: number): void {
 		// The head of an answer carries the engine's load at that moment.
 		const loads = this.#hostOf.get(id)?.loads;
 		loads?.noteFirstToken(engine.name, String(id));
 		loads?.report(engine.name, engine.load, nowMs);
 	}
 
-	noteEnd(request: TraceRequest, id: number, engine: SimulatedEngine, cachedBlocks: number | undefined): void {
+	recordEnd(request: TraceRequest, id: number, engine: SimulatedEngine, cachedBlocks: number | undefined): void {
 		const host = this.#hostOf.get(id);
-		const blocks = blocksOf(request);
+		const blocks = listPrefixBlocks(request);
 		host?.loads.end(engine.name, String(id));
 		if (cachedBlocks !== undefined) {
 			host?.prefixes.confirm(engine.name, host.prefixes.countSeen(blocks), cachedBlocks);
@@ -252,7 +252,7 @@
 		this.#hostOf.delete(id);
 	}
 
-	noteReports(engines: readonly SimulatedEngine[], nowMs: number): void {
+	recordLoadReports(engines: readonly SimulatedEngine[], nowMs: number): void {
 		for (const host of this.#hosts) {
 			for (const engine of engines) {
 				host.loads.report(engine.name, engine.load, nowMs);
@@ -260,7 +260,7 @@
 		}
 	}
 
-	noteTimeliness(request: TraceRequest, isOnTime: boolean): void {
+	recordTimeliness(request: TraceRequest, isOnTime: boolean): void {
 		const host = this.#placedBy.get(request);
 		this.#placedBy.delete(request);
 		if (host) {
@@ -268,7 +268,7 @@
 		}
 	}
 
-	changeRoles(engines: readonly SimulatedEngine[], nowMs: number): RoleStep[] {
+	changeRoles(engines: readonly SimulatedEngine[], nowMs: number): RoleChange[] {
 		if (!this.#features.roleChanges || !this.#features.roles) {
 			return [];
 		}
@@ -302,14 +302,14 @@
 
 	/** A prefix is at home once among the engines of each role. */
 	#isHome(engine: SimulatedEngine, engines: readonly SimulatedEngine[], request: TraceRequest): boolean {
-		const blocks = blocksOf(request);
+		const blocks = listPrefixBlocks(request);
 		const seen = this.#host.prefixes.countSeen(blocks);
 		const peers = engines.filter(({role}) => role === engine.role).map(({name}) => name);
 		return this.#features.prefix && seen > 0 && findHome(peers, blocks[seen - 1]!) === engine.name;
 	}
 
 	#expectCached(engine: SimulatedEngine, request: TraceRequest, isHome = false): number {
-		return this.#host.prefixes.expectCached(engine.name, blocksOf(request), isHome);
+		return this.#host.prefixes.expectCached(engine.name, listPrefixBlocks(request), isHome);
 	}
 
 	#candidate(engine: SimulatedEngine, engines: readonly SimulatedEngine[], request: TraceRequest): Candidate {
@@ -323,7 +323,7 @@
 			cachedTokens: this.#expectCached(engine, request, isHome) * 64,
 			isHome,
 			maxRunning: engine.role === 'decode' ? DECODE_MAX_RUNNING : PREFILL_MAX_RUNNING,
-			kvTokens: KV_TOKENS,
+			kvTokens: KV_CACHE_TOKENS,
 		};
 	}
 }
@@ -336,7 +336,7 @@
  * blocksOf({prefix: 3, prefixTokens: 130, …}); // two blocks
  * ```
  */
-export function blocksOf(request: TraceRequest): number[] {
+export function listPrefixBlocks(request: TraceRequest): number[] {
 	return Array.from({length: Math.floor(request.prefixTokens / 64)}, (_, index) => (request.prefix * 10_000) + index);
 }
 
--- a/bench/policy/simulate.ts
+++ b/bench/policy/simulation.ts
@@ -7,18 +7,18 @@
 import {DEFAULT_TARGETS} from '../../src/routing/choice.js';
 import {percentile} from '../statistics.js';
 import {
-	ENGINE_SPEED, MAX_RUNNING, SimulatedEngine, type EngineJob,
+	ENGINE_SPEED, MAX_RUNNING_REQUESTS, SimulatedEngine, type EngineJob,
 } from './engine.js';
-import {blocksOf, type Policy} from './policies.js';
+import {listPrefixBlocks, type Policy} from './policies.js';
 import type {Trace, TraceRequest} from './trace.js';
 
-export type Result = {
+export type SimulationResult = {
 	/** Answers whole and on time, a second. */
 	readonly goodput: number;
 	readonly refused: number;
 	readonly late: number;
 	/** Of the late ones, those whose first token came late. */
-	readonly lateFirst: number;
+	readonly lateFirstTokens: number;
 	readonly roleChanges: number;
 	readonly enginesLost: number;
 	/** Requests that got neither an answer nor a refusal. */
@@ -58,7 +58,7 @@
  * simulate(generateTrace('swing', 1), new NaivePolicy()).goodput;
  * ```
  */
-export function simulate(trace: Trace, policy: Policy): Result {
+export function simulate(trace: Trace, policy: Policy): SimulationResult {
 	return new Simulation(trace, policy).run();
 }
 
@@ -71,7 +71,7 @@
  * boundGoodput(generateTrace('overload', 1));
  * ```
  */
-export function boundGoodput(trace: Trace): number {
+export function computeGoodputBound(trace: Trace): number {
 	const windowMs = 30_000;
 	const slackMs = DEFAULT_TARGETS.firstTokenMs + (420 * DEFAULT_TARGETS.betweenTokensMs);
 	let good = 0;
@@ -100,7 +100,7 @@
 /** Engine time that a request takes at the very least: its shared beginning cached, its batch as full as an engine allows. */
 function leastWorkMs({promptTokens, prefixTokens, outputTokens}: TraceRequest): number {
 	const prefillMs = Math.max(1, promptTokens - prefixTokens) / ENGINE_SPEED.prefillTokensPerMs;
-	return prefillMs + (outputTokens * ((ENGINE_SPEED.stepMs / MAX_RUNNING) + ENGINE_SPEED.stepMsPerRequest));
+	return prefillMs + (outputTokens * ((ENGINE_SPEED.stepMs / MAX_RUNNING_REQUESTS) + ENGINE_SPEED.stepMsPerRequest));
 }
 
 class Simulation {
@@ -132,7 +132,7 @@
 
 	#nowMs = 0;
 
-	run(): Result {
+	run(): SimulationResult {
 		const {requests, events, durationMs} = this.#trace;
 		for (const request of requests) {
 			this.#schedule(request.atMs, nowMs => {
@@ -162,9 +162,9 @@
 			goodput: this.#good * 1000 / durationMs,
 			refused: this.#refused,
 			late: this.#late,
-			lateFirst: this.#lateFirst,
+			lateFirstTokens: this.#lateFirst,
 			roleChanges: this.#roleChanges,
-			enginesLost: this.#engines.reduce((sum, engine) => sum + engine.deaths, 0),
+			enginesLost: this.#engines.reduce((sum, engine) => sum + engine.crashCount, 0),
 			unanswered: this.#unanswered,
 		};
 	}
@@ -177,12 +177,12 @@
 	}
 
 	#usable(nowMs: number): SimulatedEngine[] {
-		return this.#engines.filter(engine => engine.awayUntilMs <= nowMs && !this.#draining.has(engine));
+		return this.#engines.filter(engine => engine.unavailableUntilMs <= nowMs && !this.#draining.has(engine));
 	}
 
 	#place(flight: Flight, nowMs: number): void {
 		flight.attempts++;
-		const suspected = this.#policy.judgesPoison ? judgeRequest({servers: this.#crashes.get(fingerprintOf(flight.request)) ?? []}) : 'clear';
+		const suspected = this.#policy.detectsPoison ? judgeRequest({servers: this.#crashes.get(fingerprintOf(flight.request)) ?? []}) : 'clear';
 		if (suspected === 'poisoned' || flight.attempts > MAX_ATTEMPTS) {
 			this.#refuse();
 			return;
@@ -214,13 +214,13 @@
 	#submit(flight: Flight, engine: SimulatedEngine, options: {handsOff: boolean; imported: boolean}, nowMs: number): void {
 		const id = this.#nextId++;
 		const {request} = flight;
-		this.#policy.noteSent?.(request, id, engine, nowMs);
+		this.#policy.recordSent?.(request, id, engine, nowMs);
 		const job: EngineJob = {
 			id,
 			promptTokens: request.promptTokens,
 			outputTokens: request.outputTokens,
-			blocks: blocksOf(request),
-			imported: options.imported,
+			blocks: listPrefixBlocks(request),
+			isImported: options.imported,
 			handsOff: options.handsOff,
 			poison: request.poison ?? false,
 			offset: flight.tokens,
@@ -228,7 +228,7 @@
 				this.#onToken(flight, id, engine, atMs);
 			},
 			onEnd: (atMs, end, cachedBlocks) => {
-				this.#policy.noteEnd?.(request, id, engine, options.imported ? undefined : cachedBlocks);
+				this.#policy.recordEnd?.(request, id, engine, options.imported ? undefined : cachedBlocks);
 				this.#onEnd(flight, engine, end, atMs);
 			},
 		};
@@ -240,13 +240,13 @@
 		flight.engine = engine;
 		if (flight.tokens === 0) {
 			flight.firstMs = nowMs - flight.startedMs;
-			this.#policy.noteTimeliness?.(flight.request, flight.firstMs <= DEFAULT_TARGETS.firstTokenMs);
+			this.#policy.recordTimeliness?.(flight.request, flight.firstMs <= DEFAULT_TARGETS.firstTokenMs);
 		} else {
 			flight.gaps.push(nowMs - flight.lastMs);
 		}
 
 		if (flight.gaps.length === 0 || isFirstHere) {
-			this.#policy.noteFirstToken?.(id, engine, nowMs);
+			this.#policy.recordFirstToken?.(id, engine, nowMs);
 		}
 
 		flight.tokens++;
@@ -259,7 +259,7 @@
 			this.#alone.delete(engine);
 			const fingerprint = fingerprintOf(flight.request);
 			const crashes = this.#crashes.get(fingerprint) ?? [];
-			this.#crashes.set(fingerprint, [...crashes, `${engine.name}#${engine.deaths}`]);
+			this.#crashes.set(fingerprint, [...crashes, `${engine.name}#${engine.crashCount}`]);
 			this.#schedule(nowMs, laterMs => {
 				this.#place(flight, laterMs);
 			});
@@ -282,7 +282,7 @@
 	}
 
 	#continue(flight: Flight, nowMs: number): void {
-		const engine = this.#policy.continueAt(flight.request, this.#usable(nowMs), nowMs);
+		const engine = this.#policy.placeContinuation(flight.request, this.#usable(nowMs), nowMs);
 		if (engine) {
 			this.#submit(flight, engine, {handsOff: false, imported: true}, nowMs);
 		} else {
@@ -303,7 +303,7 @@
 		}
 
 		this.#whenIdle(engine, idleMs => {
-			engine.awayUntilMs = idleMs + event.forMs;
+			engine.unavailableUntilMs = idleMs + event.forMs;
 		});
 	}
 
@@ -324,8 +324,8 @@
 	}
 
 	#report(nowMs: number): void {
-		const engines = this.#engines.filter(engine => engine.awayUntilMs <= nowMs);
-		this.#policy.noteReports?.(engines, nowMs);
+		const engines = this.#engines.filter(engine => engine.unavailableUntilMs <= nowMs);
+		this.#policy.recordLoadReports?.(engines, nowMs);
 		this.#schedule(nowMs + REPORT_EVERY_MS, laterMs => {
 			this.#report(laterMs);
 		});
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -26,7 +26,7 @@
 import {LoadTracker} from '../src/routing/load.js';
 import {PrefixIndex} from '../src/routing/prefix.js';
 import {decodeValue, encodeFrame, encodeValue} from '../src/wire/frame.js';
-import {fitLine, round} from './statistics.js';
+import {fitLine, roundToFourDigits} from './statistics.js';
 
 const {values} = parseArgs({
 	options: {json: {type: 'boolean', default: false}, only: {type: 'string'}},
@@ -155,7 +155,7 @@
 		bytes.push([hosts, result.bytesPerSecond]);
 		cpu.push([hosts, result.cpuMsPerSecond]);
 		print({
-			subject: 'gossip', hosts, servers, bytesPerSecondPerHost: Math.round(result.bytesPerSecond), cpuMsPerSecondPerHost: round(result.cpuMsPerSecond), leavingKnownEverywhereMs: result.leavingMs,
+			subject: 'gossip', hosts, servers, bytesPerSecondPerHost: Math.round(result.bytesPerSecond), cpuMsPerSecondPerHost: roundToFourDigits(result.cpuMsPerSecond), leavingKnownEverywhereMs: result.leavingMs,
 		});
 	}
 
@@ -240,7 +240,7 @@
 function report(subject: string, points: ReadonlyArray<readonly [number, number]>): void {
 	const fit = fitLine(points);
 	print({
-		subject, slope: round(fit.slope), intercept: round(fit.intercept), residual: round(fit.residual), points: points.map(([size, value]) => `${size}:${round(value)}`).join(' '),
+		subject, slope: roundToFourDigits(fit.slope), intercept: roundToFourDigits(fit.intercept), residual: roundToFourDigits(fit.residual), points: points.map(([size, value]) => `${size}:${roundToFourDigits(value)}`).join(' '),
 	});
 }
 
--- a/bench/statistics.ts
+++ b/bench/statistics.ts
@@ -5,7 +5,7 @@
  */
 
 /** Percentiles of durations, milliseconds. */
-export type Times = {
+export type DurationPercentiles = {
 	readonly p50Ms: number;
 	readonly p99Ms: number;
 	readonly maxMs: number;
@@ -32,7 +32,7 @@
  * describeTimes([1, 2, 3]).p50Ms; // 2
  * ```
  */
-export function describeTimes(times: readonly number[]): Times {
+export function summarizeDurations(times: readonly number[]): DurationPercentiles {
 	return {p50Ms: percentile(times, 0.5), p99Ms: percentile(times, 0.99), maxMs: percentile(times, 1)};
 }
 
@@ -44,13 +44,13 @@
  * describeSpread([1, 3]); // {mean: 2, deviation: 1}
  * ```
  */
-export function describeSpread(values: readonly number[]): {readonly mean: number; readonly deviation: number} {
+export function computeSpread(values: readonly number[]): {readonly mean: number; readonly deviation: number} {
 	const mean = values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length);
 	const variance = values.reduce((sum, value) => sum + ((value - mean) ** 2), 0) / Math.max(1, values.length);
 	return {mean, deviation: Math.sqrt(variance)};
 }
 
-export type Fit = {
+export type LineFit = {
 	readonly slope: number;
 	readonly intercept: number;
 	/** Largest distance of a point from the line, as a share of the largest value. */
@@ -65,7 +65,7 @@
  * fitLine([[1, 3], [2, 5]]); // {slope: 2, intercept: 1, residual: 0}
  * ```
  */
-export function fitLine(points: ReadonlyArray<readonly [number, number]>): Fit {
+export function fitLine(points: ReadonlyArray<readonly [number, number]>): LineFit {
 	const count = points.length;
 	const meanX = points.reduce((sum, [x]) => sum + x, 0) / count;
 	const meanY = points.reduce((sum, [, y]) => sum + y, 0) / count;
@@ -86,6 +86,6 @@
  * round(0.0123456); // 0.01235
  * ```
  */
-export function round(value: number): number {
+export function roundToFourDigits(value: number): number {
 	return Number(value.toPrecision(4));
 }
--- a/dev/calls.ts
+++ b/dev/client.ts
@@ -4,16 +4,16 @@
  * @module
  */
 import {ANSWER_TOKENS, expectedAnswer} from '../fakes/answer.js';
-import type {ProcessFleet, ProcessRecord} from './fleet.js';
+import type {ProcessFleet, FleetProcess} from './fleet.js';
 
 export type StreamResult = {
 	/** Whether it is the known answer to its own prompt, whole. */
-	readonly isWhole: boolean;
+	readonly isComplete: boolean;
 	readonly status: number;
 	readonly code: number;
 	readonly text: string;
 	readonly tokens: number;
-	readonly firstMs: number;
+	readonly firstTokenMs: number;
 	readonly requestId: string;
 };
 
@@ -53,17 +53,17 @@
 
 	const count = Math.min(maxTokens ?? Number.POSITIVE_INFINITY, ANSWER_TOKENS[model] ?? 50);
 	return {
-		isWhole: isDone && text === expectedAnswer(`user: ${content}`, count),
+		isComplete: isDone && text === expectedAnswer(`user: ${content}`, count),
 		status: response.status,
 		code: Number(response.headers.get('carawayhoist-code') ?? 0),
 		text,
 		tokens,
-		firstMs,
+		firstTokenMs: firstMs,
 		requestId: response.headers.get('x-request-id') ?? '',
 	};
 }
 
-export type CallResult = {
+export type BookingResult = {
 	readonly status: number;
 	readonly text: string;
 	readonly outcome: string | null;
@@ -71,7 +71,7 @@
 };
 
 /** Books a seat; a host that dies meanwhile gives status 0. */
-export async function book(url: string, key: string, seat = 'A7'): Promise<CallResult> {
+export async function bookSeat(url: string, key: string, seat = 'A7'): Promise<BookingResult> {
 	try {
 		const response = await fetch(`${url}/booking/seats`, {
 			method: 'POST', headers: {'content-type': 'application/json', 'idempotency-key': key}, body: JSON.stringify({seat, delegate: 'Runa'}),
@@ -87,7 +87,7 @@
 }
 
 /** Counts at the plain servers how often a key ran. */
-export async function countKey(fleet: ProcessFleet, key: string): Promise<number> {
+export async function countRuns(fleet: ProcessFleet, key: string): Promise<number> {
 	const plains = fleet.backends.filter(({role}) => role === 'plain');
 	const counts = await Promise.all(plains.map(async ({url}) => {
 		const {keys} = await (await fetch(`${url}/runs`)).json() as {keys: Record<string, number>};
@@ -96,7 +96,7 @@
 	return counts.reduce((sum, count) => sum + count, 0);
 }
 
-export type EngineRuns = {
+export type EngineCounters = {
 	readonly requests: Record<string, number>;
 	readonly orders: Array<{readonly order: number; readonly type: string}>;
 	readonly cutByOrder: number;
@@ -105,24 +105,24 @@
 };
 
 /** Reads an engine's counters. */
-export async function readEngine(engine: ProcessRecord): Promise<EngineRuns> {
-	return await (await fetch(`${engine.url}/runs`)).json() as EngineRuns;
+export async function readEngineCounters(engine: FleetProcess): Promise<EngineCounters> {
+	return await (await fetch(`${engine.url}/runs`)).json() as EngineCounters;
 }
 
-export type MembersAnswer = {
+export type MembersResponse = {
 	readonly leader: string;
 	readonly repair?: string;
 	readonly configuration: {readonly voters: ReadonlyArray<{readonly replica: string; readonly host: string; readonly address: string; readonly port: number}>};
 };
 
 /** Asks an entry host for the control replicas. */
-export async function readMembers(entry: ProcessRecord): Promise<MembersAnswer> {
-	return await (await fetch(`${entry.url}/api/v1/members`)).json() as MembersAnswer;
+export async function fetchMembers(entry: FleetProcess): Promise<MembersResponse> {
+	return await (await fetch(`${entry.url}/api/v1/members`)).json() as MembersResponse;
 }
 
 /** Finds the process that leads, as an entry host learns it. */
-export async function findLeader(fleet: ProcessFleet, entry: ProcessRecord): Promise<ProcessRecord | undefined> {
-	const {leader, configuration} = await readMembers(entry);
+export async function findLeader(fleet: ProcessFleet, entry: FleetProcess): Promise<FleetProcess | undefined> {
+	const {leader, configuration} = await fetchMembers(entry);
 	const host = configuration.voters.find(({replica}) => replica === leader)?.host;
 	return fleet.hosts.find(({name}) => name === host);
 }
--- a/dev/demo.ts
+++ b/dev/demo.ts
@@ -13,10 +13,10 @@
 import process from 'node:process';
 import {parseArgs, promisify} from 'node:util';
 import {
-	book, countKey, findLeader, readEngine, streamCompletion,
-} from './calls.js';
+	bookSeat, countRuns, findLeader, readEngineCounters, streamCompletion,
+} from './client.js';
 import {
-	isRunning, ProcessFleet, waitUntil, type ProcessRecord,
+	isRunning, ProcessFleet, waitUntil, type FleetProcess,
 } from './fleet.js';
 
 const TOOL = path.resolve(import.meta.dirname, '../src/tool/carawayhoist.js');
@@ -27,7 +27,7 @@
 const {values} = parseArgs({options: {'keep-running': {type: 'boolean', default: false}}});
 let failures = 0;
 const fleet = await ProcessFleet.start({
-	controls: 3, entries: 2, engines: 4, plains: 2, firstPort: values['keep-running'] ? FIRST_PORT : 0,
+	controlHosts: 3, entryHosts: 2, engines: 4, plainServers: 2, firstPort: values['keep-running'] ? FIRST_PORT : 0,
 });
 process.once('SIGINT', () => {
 	void fleet.stop().then(() => process.exit(0));
@@ -59,7 +59,7 @@
 }
 
 async function tellStory(): Promise<void> {
-	const [first, second] = fleet.hosts as [ProcessRecord, ProcessRecord];
+	const [first, second] = fleet.hosts as [FleetProcess, FleetProcess];
 	const last = fleet.hosts.at(-1)!;
 	console.log('Five hosts run (three keep the durable state), four fake engines and two fake plain servers announce themselves.');
 	await step('The operator declares the services and models', async () => {
@@ -72,7 +72,7 @@
 		const running = streamCompletion(last.url, {model: 'chat-1', content: 'compare the sessions on barley and on oats during the drain'});
 		const output = await tool(first, 'drain', 'engine-1', '--wait', '--name', 'demo-drain');
 		const whole = await running;
-		check(whole.isWhole, 'the long answer was cut by the drain');
+		check(whole.isComplete, 'the long answer was cut by the drain');
 		const before = await countRequests('engine-1');
 		await Promise.all(Array.from({length: 8}, async (_, index) => streamCompletion(second.url, {model: 'summary-1', content: `after the drain ${index}`})));
 		check(await countRequests('engine-1') === before, 'engine-1 got new work after its drain');
@@ -95,17 +95,17 @@
 	console.log(failures === 0 ? '\nEvery stated outcome was seen.' : `\n${failures} stated outcome(s) failed.`);
 }
 
-async function serveEverything(entry: ProcessRecord, when: string): Promise<void> {
+async function serveEverything(entry: FleetProcess, when: string): Promise<void> {
 	await step('A delegate asks for a summary of a full track (long prompt, short answer, streamed)', async () => {
 		const prompt = `summarise ${when} ${'the session on crop rotation said much. '.repeat(300)}`;
-		const {isWhole, tokens, firstMs} = await streamCompletion(entry.url, {model: 'summary-1', content: prompt});
-		check(isWhole, 'the summary is not the known answer');
-		return `whole, ${tokens} tokens, first after ${Math.round(firstMs)} ms`;
+		const {isComplete, tokens, firstTokenMs} = await streamCompletion(entry.url, {model: 'summary-1', content: prompt});
+		check(isComplete, 'the summary is not the known answer');
+		return `whole, ${tokens} tokens, first after ${Math.round(firstTokenMs)} ms`;
 	});
 	await step('A delegate compares two sessions (short prompt, long answer)', async () => {
-		const {isWhole, tokens, firstMs} = await streamCompletion(entry.url, {model: 'chat-1', content: `compare ${when}`});
-		check(isWhole, 'the comparison is not the known answer');
-		return `whole, ${tokens} tokens, first after ${Math.round(firstMs)} ms`;
+		const {isComplete, tokens, firstTokenMs} = await streamCompletion(entry.url, {model: 'chat-1', content: `compare ${when}`});
+		check(isComplete, 'the comparison is not the known answer');
+		return `whole, ${tokens} tokens, first after ${Math.round(firstTokenMs)} ms`;
 	});
 	await step('A delegate reads the agenda (repeatable)', async () => {
 		const response = await fetch(`${entry.url}/booking/agenda`);
@@ -115,10 +115,10 @@
 	await step('A delegate books a seat and the app sends it twice', async () => {
 		const other = fleet.hosts.find(host => host !== entry && isRunning(host))!;
 		const key = `seat-${when}`;
-		const booked = await book(entry.url, key);
-		const again = await book(other.url, key);
+		const booked = await bookSeat(entry.url, key);
+		const again = await bookSeat(other.url, key);
 		check(booked.status === 200 && booked.text === again.text, `answers differ: ${booked.status} ${booked.text} / ${again.status} ${again.text}`);
-		const runs = await countKey(fleet, key);
+		const runs = await countRuns(fleet, key);
 		check(runs === 1, `the booking ran ${runs} times`);
 		return `ran ${runs} time, both got ${booked.text}`;
 	});
@@ -147,7 +147,7 @@
 }
 
 async function countRequests(name: string): Promise<number> {
-	const {requests} = await readEngine(fleet.backends.find(backend => backend.name === name)!);
+	const {requests} = await readEngineCounters(fleet.backends.find(backend => backend.name === name)!);
 	return Object.values(requests).reduce((sum, count) => sum + count, 0);
 }
 
@@ -158,7 +158,7 @@
 	}, `service ${service} on all hosts`, 5000);
 }
 
-async function tool(entry: ProcessRecord, ...commandLine: string[]): Promise<string> {
+async function tool(entry: FleetProcess, ...commandLine: string[]): Promise<string> {
 	const {stdout} = await execute(process.execPath, [TOOL, '--host', entry.url, ...commandLine]);
 	return stdout;
 }
--- a/dev/fleet.ts
+++ b/dev/fleet.ts
@@ -18,7 +18,7 @@
 const READY_TIMEOUT_MS = 20_000;
 const POLL_MS = 50;
 
-export type ProcessRecord = {
+export type FleetProcess = {
 	readonly name: string;
 	readonly role: string;
 	readonly url: string;
@@ -27,22 +27,22 @@
 	readonly settings?: Settings;
 };
 
-export type FleetPlan = {
-	readonly controls: number;
-	readonly entries: number;
+export type FleetOptions = {
+	readonly controlHosts: number;
+	readonly entryHosts: number;
 	readonly engines: number;
-	readonly plains: number;
+	readonly plainServers: number;
 	/** Port of the first entry host; 0 takes a free one. */
 	readonly firstPort?: number;
 	readonly engineArguments?: readonly string[];
-	readonly plainArguments?: readonly string[];
+	readonly plainServerArguments?: readonly string[];
 	readonly logLevel?: Settings['logLevel'];
 };
 
 /** A running fleet. Whoever started it stops it. */
 export class ProcessFleet {
-	readonly hosts: ProcessRecord[] = [];
-	readonly backends: ProcessRecord[] = [];
+	readonly hosts: FleetProcess[] = [];
+	readonly backends: FleetProcess[] = [];
 	readonly folder: string;
 	#isStopped = false;
 
@@ -51,7 +51,7 @@
 	}
 
 	/** Starts every process and waits until the entry hosts are ready. */
-	static async start(plan: FleetPlan): Promise<ProcessFleet> {
+	static async start(plan: FleetOptions): Promise<ProcessFleet> {
 		const fleet = new ProcessFleet(await mkdtemp(path.join(os.tmpdir(), 'carawayhoist-')));
 		const settings = await createSettings(fleet.folder, plan);
 		for (const one of settings) {
@@ -65,9 +65,9 @@
 			}));
 		}
 
-		for (let index = 1; index <= plan.plains; index++) {
+		for (let index = 1; index <= plan.plainServers; index++) {
 			fleet.backends.push(fleet.startBackend({
-				kind: 'plain', name: `plain-${index}`, port: await findPort(), entries, extra: plan.plainArguments ?? [],
+				kind: 'plain', name: `plain-${index}`, port: await findPort(), entries, extra: plan.plainServerArguments ?? [],
 			}));
 		}
 
@@ -76,7 +76,7 @@
 		return fleet;
 	}
 
-	async startHost(settings: Settings): Promise<ProcessRecord> {
+	async startHost(settings: Settings): Promise<FleetProcess> {
 		const settingsFile = path.join(this.folder, `${settings.host}.json`);
 		await writeFile(settingsFile, JSON.stringify(settings, undefined, '\t'));
 		const child = this.#spawn(settings.host, [DAEMON, '--settings', settingsFile]);
@@ -85,7 +85,7 @@
 		};
 	}
 
-	startBackend(options: {kind: string; name: string; port: number; entries: readonly string[]; extra: readonly string[]}): ProcessRecord {
+	startBackend(options: {kind: string; name: string; port: number; entries: readonly string[]; extra: readonly string[]}): FleetProcess {
 		const {kind, name, port, entries, extra} = options;
 		const own = ['--kind', kind, '--name', name, '--port', String(port)];
 		const child = this.#spawn(name, [FAKE, ...own, ...entries.flatMap(entry => ['--entry', entry]), ...extra]);
@@ -95,8 +95,8 @@
 	}
 
 	/** Kills a host and starts it again, with or without what its disk held. */
-	async restart(record: ProcessRecord, options: {readonly wipe: boolean}): Promise<ProcessRecord> {
-		await endProcess(record);
+	async restartHost(record: FleetProcess, options: {readonly wipe: boolean}): Promise<FleetProcess> {
+		await killProcess(record);
 		if (options.wipe && record.settings?.dataFolder !== undefined) {
 			await rm(record.settings.dataFolder, {recursive: true, force: true});
 		}
@@ -114,11 +114,11 @@
 		}
 
 		this.#isStopped = true;
-		await Promise.all([...this.hosts, ...this.backends].map(async record => endProcess(record)));
+		await Promise.all([...this.hosts, ...this.backends].map(async record => killProcess(record)));
 		await rm(this.folder, {recursive: true, force: true});
 	}
 
-	async #knowsBackends(host: ProcessRecord): Promise<boolean> {
+	async #knowsBackends(host: FleetProcess): Promise<boolean> {
 		const status = await (await fetch(`${host.url}/api/v1/status`)).json() as {servers: unknown[]};
 		return status.servers.length >= this.backends.length;
 	}
@@ -137,12 +137,12 @@
 }
 
 /** Tells whether a process has not ended. */
-export function isRunning({child}: ProcessRecord): boolean {
+export function isRunning({child}: FleetProcess): boolean {
 	return child.exitCode === null && child.signalCode === null;
 }
 
 /** Kills a process and waits until it is gone. */
-export async function endProcess(record: ProcessRecord): Promise<void> {
+export async function killProcess(record: FleetProcess): Promise<void> {
 	if (isRunning(record)) {
 		await new Promise<void>(resolve => {
 			record.child.once('exit', () => {
@@ -185,8 +185,8 @@
 	});
 }
 
-async function createSettings(folder: string, plan: FleetPlan): Promise<Settings[]> {
-	const count = plan.controls + plan.entries;
+async function createSettings(folder: string, plan: FleetOptions): Promise<Settings[]> {
+	const count = plan.controlHosts + plan.entryHosts;
 	const dataCentres = ['a', 'b', 'c'];
 	const hosts: Array<{host: string; dataCentre: string; httpPort: number; peerPort: number}> = [];
 	for (let index = 0; index < count; index++) {
@@ -201,11 +201,11 @@
 	return hosts.map(({host, dataCentre, httpPort, peerPort}, index) => ({
 		host,
 		dataCentre,
-		roles: index < plan.controls ? ['control', 'entry'] : ['entry'],
+		roles: index < plan.controlHosts ? ['control', 'entry'] : ['entry'],
 		http: {address: '127.0.0.1', port: httpPort},
 		peer: {address: '127.0.0.1', port: peerPort},
-		...(index < plan.controls ? {dataFolder: path.join(folder, host)} : {}),
-		control: peers.slice(0, plan.controls),
+		...(index < plan.controlHosts ? {dataFolder: path.join(folder, host)} : {}),
+		control: peers.slice(0, plan.controlHosts),
 		peers,
 		logLevel: plan.logLevel ?? 'info',
 	}));
--- a/dev/fuzz.ts
+++ b/dev/fuzz.ts
@@ -11,7 +11,7 @@
 import {parseArgs} from 'node:util';
 import {MUTATIONS, type Mutation} from './fuzz/mutations.js';
 import {runSchedule, type RunResult} from './fuzz/run.js';
-import type {FaultCounts} from './fuzz/world.js';
+import type {FaultCounts} from './fuzz/simulator.js';
 
 const TRACE_LINES = 40;
 
--- a/dev/fuzz/backend.ts
+++ b/dev/fuzz/backend.ts
@@ -6,21 +6,21 @@
 import type {OrderReport} from '../../src/control/controller.js';
 import type {OpenOrder} from '../../src/control/state.js';
 import type {Announcement} from '../../src/generated/types.js';
-import type {Checks} from './checks.js';
+import type {InvariantChecker} from './invariants.js';
 import type {Mutation} from './mutations.js';
-import type {Process, World} from './world.js';
+import type {SimulatedProcess, Simulator} from './simulator.js';
 
 const ORDER_MS = 200;
 const ANNOUNCE_MS = 100;
 const WORK_MS = 250;
 
 /** An engine: runs requests, takes orders; some check fencing numbers, some do not. */
-export class FakeEngineProcess {
-	readonly process: Process;
+export class EngineProcess {
+	readonly process: SimulatedProcess;
 	readonly name: string;
 	readonly checksFence: boolean;
-	readonly #world: World;
-	readonly #checks: Checks;
+	readonly #simulator: Simulator;
+	readonly #checker: InvariantChecker;
 	readonly #mutation: Mutation | undefined;
 	readonly #announce: (announcement: Announcement) => void;
 	/** Running requests, and whether their host was entitled to send them. */
@@ -31,19 +31,19 @@
 	#incarnation = 1;
 	#sequence = 0;
 
-	constructor(options: {name: string; checksFence: boolean; world: World; checks: Checks; mutation: Mutation | undefined; announce: (announcement: Announcement) => void}) {
+	constructor(options: {name: string; checksFence: boolean; simulator: Simulator; checker: InvariantChecker; mutation: Mutation | undefined; announce: (announcement: Announcement) => void}) {
 		this.name = options.name;
 		this.checksFence = options.checksFence;
-		this.#world = options.world;
-		this.#checks = options.checks;
+		this.#simulator = options.simulator;
+		this.#checker = options.checker;
 		this.#mutation = options.mutation;
 		this.#announce = options.announce;
-		this.process = options.world.addProcess(options.name);
+		this.process = options.simulator.addProcess(options.name);
 		this.#tick();
 	}
 
 	kill(): void {
-		this.#world.kill(this.process);
+		this.#simulator.kill(this.process);
 		this.#running = new Map();
 		this.#state = 'done';
 	}
@@ -60,20 +60,20 @@
 	}
 
 	/** Runs a request unless an order is being carried out. */
-	run(request: string, isEntitled: boolean, reply: (isRun: boolean) => void): void {
+	runRequest(request: string, isEntitled: boolean, reply: (isRun: boolean) => void): void {
 		if (this.#state === 'running') {
 			reply(false);
 			return;
 		}
 
 		this.#running.set(request, isEntitled);
-		this.#world.scheduleIn(this.process, 20 + (this.#world.random() * 600), () => {
+		this.#simulator.scheduleOn(this.process, 20 + (this.#simulator.random() * 600), () => {
 			this.#running.delete(request);
 			reply(true);
 		});
 	}
 
-	takeOrder(order: OpenOrder, reply: (report: OrderReport) => void): void {
+	receiveOrder(order: OpenOrder, reply: (report: OrderReport) => void): void {
 		const isChecking = this.checksFence && this.#mutation !== 'no-fence';
 		const base = {server: this.name, order: order.order};
 		if (isChecking && order.order < this.#highest) {
@@ -98,11 +98,11 @@
 	}
 
 	#execute(order: number): void {
-		this.#checks.noteOrderExecuted(this.name, order);
-		this.#world.note(`${this.name} carries out order ${order}`);
+		this.#checker.recordOrderExecuted(this.name, order);
+		this.#simulator.log(`${this.name} carries out order ${order}`);
 		for (const [request, isEntitled] of this.#running) {
 			if (isEntitled) {
-				this.#checks.noteCut(this.name, request);
+				this.#checker.recordInterruptedRequest(this.name, request);
 			}
 		}
 
@@ -110,7 +110,7 @@
 		this.#last = order;
 		this.#highest = Math.max(this.#highest, order);
 		this.#state = 'running';
-		this.#world.scheduleIn(this.process, ORDER_MS, () => {
+		this.#simulator.scheduleOn(this.process, ORDER_MS, () => {
 			this.#state = 'done';
 		});
 	}
@@ -127,33 +127,33 @@
 			checksFence: this.checksFence,
 			load: {running: this.#running.size, waiting: 0},
 		});
-		this.#world.scheduleIn(this.process, ANNOUNCE_MS, () => {
+		this.#simulator.scheduleOn(this.process, ANNOUNCE_MS, () => {
 			this.#tick();
 		});
 	}
 }
 
 /** A plain server whose work may not be repeated. */
-export class FakePlainProcess {
-	readonly process: Process;
-	readonly #world: World;
-	readonly #checks: Checks;
-
-	constructor(name: string, world: World, checks: Checks) {
-		this.#world = world;
-		this.#checks = checks;
-		this.process = world.addProcess(name);
+export class PlainServerProcess {
+	readonly process: SimulatedProcess;
+	readonly #simulator: Simulator;
+	readonly #checker: InvariantChecker;
+
+	constructor(name: string, simulator: Simulator, checker: InvariantChecker) {
+		this.#simulator = simulator;
+		this.#checker = checker;
+		this.process = simulator.addProcess(name);
 	}
 
-	run(key: string, attempt: string, reply: (booking: string) => void): void {
-		this.#checks.noteRun(key, attempt);
-		this.#world.scheduleIn(this.process, this.#world.random() * WORK_MS, () => {
+	runBooking(key: string, attempt: string, reply: (booking: string) => void): void {
+		this.#checker.recordRun(key, attempt);
+		this.#simulator.scheduleOn(this.process, this.#simulator.random() * WORK_MS, () => {
 			reply(`${key}:${attempt}`);
 		});
 	}
 
 	kill(): void {
-		this.#world.kill(this.process);
+		this.#simulator.kill(this.process);
 	}
 
 	restart(): void {
--- a/dev/fuzz/control.ts
+++ b/dev/fuzz/control.ts
@@ -18,25 +18,25 @@
 	Command, CommandEntry, Configuration, ConsensusBody, Entry, Member, Outcome, Renew, ViewUpdate,
 } from '../../src/generated/types.js';
 import {decodeValue, encodeValue} from '../../src/wire/frame.js';
-import type {FakeEngineProcess} from './backend.js';
-import type {Checks} from './checks.js';
-import {consensusMechanisms, orderMechanisms, type Mutation} from './mutations.js';
-import type {Process, World} from './world.js';
+import type {EngineProcess} from './backend.js';
+import type {InvariantChecker} from './invariants.js';
+import {createConsensusMechanisms, createOrderMechanisms, type Mutation} from './mutations.js';
+import type {SimulatedProcess, Simulator} from './simulator.js';
 
-export type Reply<Answer> = (answer: Either.Either<'not-leader' | 'unknown', Answer>) => void;
+export type ReplyCallback<Answer> = (answer: Either.Either<'not-leader' | 'unknown', Answer>) => void;
 
 export type ControlContext = {
-	readonly world: World;
-	readonly checks: Checks;
+	readonly simulator: Simulator;
+	readonly checker: InvariantChecker;
 	readonly mutation: Mutation | undefined;
 	readonly controls: Map<string, ControlProcess>;
-	readonly engines: Map<string, FakeEngineProcess>;
+	readonly engines: Map<string, EngineProcess>;
 	readonly maxEntriesPerAppend: number;
 	readonly timing: ControllerTiming;
 	/** Called when a replica's commit index rises. */
 	readonly onCommit?: (control: ControlProcess) => void;
 	/** Called when a leader has learned that an order of its was not sent, just before it sends it. */
-	readonly onUnsent?: (control: ControlProcess, server: string, order: number) => void;
+	readonly onOrderAbsent?: (control: ControlProcess, server: string, order: number) => void;
 	readonly onLeader: (control: ControlProcess) => void;
 };
 
@@ -53,7 +53,7 @@
 
 /** One control host. */
 export class ControlProcess {
-	readonly process: Process;
+	readonly process: SimulatedProcess;
 	readonly host: string;
 	readonly #context: ControlContext;
 	replica: Replica | undefined;
@@ -64,17 +64,17 @@
 	#image: Image;
 	#writes: PendingWrite[] = [];
 	#isSyncing = false;
-	readonly #pending = new Map<number, {readonly term: number; readonly reply: Reply<Outcome>}>();
-	readonly #reads = new Map<number, Reply<ControlState>>();
+	readonly #pending = new Map<number, {readonly term: number; readonly reply: ReplyCallback<Outcome>}>();
+	readonly #reads = new Map<number, ReplyCallback<ControlState>>();
 	#nextRead = 1;
 	#incarnation = 1;
-	readonly #subscribers = new Map<string, {process: Process; push: (view: ViewUpdate) => void; sentVersion: number}>();
+	readonly #subscribers = new Map<string, {process: SimulatedProcess; push: (view: ViewUpdate) => void; sentVersion: number}>();
 
 	constructor(context: ControlContext, host: string, first: Configuration | undefined) {
 		this.#context = context;
 		this.host = host;
 		this.identity = `${host}.1`;
-		this.process = context.world.addProcess(host);
+		this.process = context.simulator.addProcess(host);
 		this.#image = first ? {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: first}} : EMPTY_IMAGE;
 		context.controls.set(host, this);
 		this.#boot();
@@ -85,16 +85,16 @@
 	}
 
 	/** Whether it leads, knows all that is committed, and can have no successor yet. */
-	get hasAuthority(): boolean {
-		const {nowMs} = this.#context.world;
+	get holdsLeaderLease(): boolean {
+		const {nowMs} = this.#context.simulator;
 		return this.isLeader && this.replica!.isLeaderReady && this.replica!.leaseUntilMs(nowMs) > nowMs;
 	}
 
 	kill(options: {readonly wipe: boolean}): void {
-		const {world, mutation} = this.#context;
-		world.kill(this.process);
+		const {simulator, mutation} = this.#context;
+		simulator.kill(this.process);
 		// Writes that were not synced are lost, or some of the first of them are on disk after all.
-		const kept = Math.floor(world.random() * (this.#writes.length + 1));
+		const kept = Math.floor(simulator.random() * (this.#writes.length + 1));
 		this.#image = applyRecords(this.#image, this.#writes.slice(0, kept).flatMap(write => write.records));
 		this.#writes = [];
 		this.#isSyncing = false;
@@ -107,7 +107,7 @@
 			this.#image = EMPTY_IMAGE;
 			if (mutation === 'wiped-replica-votes') {
 				// The identity is taken from the settings, and so is the first configuration.
-				this.#image = {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: this.#context.checks.firstConfiguration}};
+				this.#image = {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: this.#context.checker.initialConfiguration}};
 			} else {
 				this.#incarnation++;
 				this.identity = `${this.host}.${this.#incarnation}`;
@@ -123,17 +123,17 @@
 	}
 
 	/** Whether it waits to be admitted by the others. */
-	get isBlank(): boolean {
+	get isAwaitingAdmission(): boolean {
 		return this.replica?.configuration.voters.length === 0;
 	}
 
 	receive(from: string, to: string, body: ConsensusBody): void {
 		if (to === this.identity && this.replica) {
-			this.#run(this.replica.step({type: 'message', from, body}, this.#context.world.nowMs));
+			this.#run(this.replica.step({type: 'message', from, body}, this.#context.simulator.nowMs));
 		}
 	}
 
-	propose(command: Command, reply: Reply<Outcome>): void {
+	propose(command: Command, reply: ReplyCallback<Outcome>): void {
 		const {replica} = this;
 		if (!replica?.isLeaderReady) {
 			reply(Either.left('not-leader'));
@@ -141,25 +141,25 @@
 		}
 
 		this.#pending.set(replica.lastIndex + 1, {term: replica.term, reply});
-		this.#run(replica.step({type: 'propose', data: [encodeValue(command)]}, this.#context.world.nowMs));
+		this.#run(replica.step({type: 'propose', data: [encodeValue(command)]}, this.#context.simulator.nowMs));
 	}
 
-	read(reply: Reply<ControlState>): void {
+	read(reply: ReplyCallback<ControlState>): void {
 		const id = this.#nextRead++;
 		this.#reads.set(id, reply);
 		if (this.replica) {
-			this.#run(this.replica.step({type: 'read', id}, this.#context.world.nowMs));
+			this.#run(this.replica.step({type: 'read', id}, this.#context.simulator.nowMs));
 		}
 	}
 
 	/** Renews a view lease; later views are pushed to the subscriber as they come. */
-	renew(message: Renew, subscriber: {readonly process: Process; push(view: ViewUpdate): void}, reply: Reply<{readonly leaseMs: number; readonly view: ViewUpdate}>): void {
-		if (this.controller === undefined || !this.hasAuthority) {
+	renew(message: Renew, subscriber: {readonly process: SimulatedProcess; push(view: ViewUpdate): void}, reply: ReplyCallback<{readonly leaseMs: number; readonly view: ViewUpdate}>): void {
+		if (this.controller === undefined || !this.holdsLeaderLease) {
 			reply(Either.left('not-leader'));
 			return;
 		}
 
-		const leaseMs = this.controller.renew(message, this.#context.world.nowMs);
+		const leaseMs = this.controller.renew(message, this.#context.simulator.nowMs);
 		this.#subscribers.set(message.host, {
 			...subscriber, push(view) {
 				subscriber.push(view);
@@ -174,41 +174,41 @@
 		}
 
 		this.repair = repair;
-		this.#context.world.note(`${this.host} begins repair ${JSON.stringify({add: repair.add?.replica, remove: repair.remove})}`);
+		this.#context.simulator.log(`${this.host} begins repair ${JSON.stringify({add: repair.add?.replica, remove: repair.remove})}`);
 		return true;
 	}
 
-	handOver(): void {
+	transferLeadership(): void {
 		if (this.replica) {
-			this.#run(this.replica.step({type: 'hand-over'}, this.#context.world.nowMs));
+			this.#run(this.replica.step({type: 'hand-over'}, this.#context.simulator.nowMs));
 		}
 	}
 
 	#boot(): void {
-		const {world, mutation} = this.#context;
+		const {simulator, mutation} = this.#context;
 		this.state = this.#image.snapshot.data.length > 0 ? this.#restoreState(this.#image.snapshot.data) : this.#createState();
 		this.replica = new Replica({
 			replica: this.identity,
 			hard: this.#image.hard,
 			snapshot: this.#image.snapshot,
 			entries: this.#image.entries,
-			nowMs: world.nowMs,
-			random: createRandom(Math.floor(world.random() * 1e9)),
-			mechanisms: consensusMechanisms(mutation),
+			nowMs: simulator.nowMs,
+			random: createRandom(Math.floor(simulator.random() * 1e9)),
+			mechanisms: createConsensusMechanisms(mutation),
 			maxEntriesPerAppend: this.#context.maxEntriesPerAppend,
 		});
 		const tick = () => {
 			this.#tick();
-			world.scheduleIn(this.process, TICK_MS * (0.5 + world.random()), tick);
+			simulator.scheduleOn(this.process, TICK_MS * (0.5 + simulator.random()), tick);
 		};
 
 		const tickController = () => {
 			this.#tickController();
-			world.scheduleIn(this.process, TICK_MS * (0.5 + world.random()), tickController);
+			simulator.scheduleOn(this.process, TICK_MS * (0.5 + simulator.random()), tickController);
 		};
 
-		world.scheduleIn(this.process, world.random() * TICK_MS, tick);
-		world.scheduleIn(this.process, world.random() * TICK_MS, tickController);
+		simulator.scheduleOn(this.process, simulator.random() * TICK_MS, tick);
+		simulator.scheduleOn(this.process, simulator.random() * TICK_MS, tickController);
 	}
 
 	#createState(image?: StateImage): ControlState {
@@ -220,12 +220,12 @@
 	}
 
 	#tick(): void {
-		const {world} = this.#context;
+		const {simulator} = this.#context;
 		const replica = this.replica!;
-		this.#run(replica.step({type: 'tick'}, world.nowMs));
+		this.#run(replica.step({type: 'tick'}, simulator.nowMs));
 		const applied = this.state.version;
 		if (applied - replica.snapshotIndex > COMPACT_AFTER_ENTRIES) {
-			this.#run(replica.step({type: 'compact', index: applied, data: encodeValue(this.state.save())}, world.nowMs));
+			this.#run(replica.step({type: 'compact', index: applied, data: encodeValue(this.state.save())}, simulator.nowMs));
 		}
 	}
 
@@ -248,7 +248,7 @@
 		}
 
 		if (isRepaired(this.repair, view)) {
-			this.#context.world.note(`${this.host} finished the repair`);
+			this.#context.simulator.log(`${this.host} finished the repair`);
 			this.repair = undefined;
 			return;
 		}
@@ -256,12 +256,12 @@
 		const next = nextConfiguration(this.repair, view);
 		if (next) {
 			const configuration = this.#context.mutation === 'swap-in-one-step' ? {...next, outgoing: []} : next;
-			this.#run(this.replica!.step({type: 'configure', configuration}, this.#context.world.nowMs));
+			this.#run(this.replica!.step({type: 'configure', configuration}, this.#context.simulator.nowMs));
 		}
 	}
 
 	#membersView(): MembersView {
-		const {nowMs} = this.#context.world;
+		const {nowMs} = this.#context.simulator;
 		const replica = this.replica!;
 		return {
 			configuration: replica.configuration,
@@ -272,12 +272,12 @@
 	}
 
 	#authority() {
-		const {nowMs} = this.#context.world;
+		const {nowMs} = this.#context.simulator;
 		return {nowMs, wallMs: Math.floor(nowMs), leaseUntilMs: this.replica!.leaseUntilMs(nowMs)};
 	}
 
 	#runController(effect: ControllerEffect): void {
-		const {world, engines, checks} = this.#context;
+		const {simulator, engines, checker} = this.#context;
 		if (effect.type === 'propose') {
 			this.propose(effect.command, () => undefined);
 			return;
@@ -293,7 +293,7 @@
 			}
 		};
 
-		world.scheduleIn(this.process, this.#context.timing.orderTransitMs * 0.8, () => {
+		simulator.scheduleOn(this.process, this.#context.timing.orderTransitMs * 0.8, () => {
 			answer({type: 'lost', server: order.server, order: order.order});
 		});
 		if (!engine) {
@@ -301,20 +301,20 @@
 		}
 
 		if (effect.type === 'send-order') {
-			checks.noteOrderSent(order.server, order.order);
-			world.note(`${this.host} sends order ${order.order} to ${order.server}`);
-			if (engine.checksFence && world.random() < LATE_ORDER_SHARE) {
+			checker.recordOrderSent(order.server, order.order);
+			simulator.log(`${this.host} sends order ${order.order} to ${order.server}`);
+			if (engine.checksFence && simulator.random() < LATE_ORDER_SHARE) {
 				// The process was paused between its last check and the write; the fence must hold against that.
-				world.schedule(world.random() * LATEST_ORDER_MS, () => {
+				simulator.schedule(simulator.random() * LATEST_ORDER_MS, () => {
 					if (engine.process.isAlive) {
-						engine.takeOrder(order, () => undefined);
+						engine.receiveOrder(order, () => undefined);
 					}
 				});
 			}
 
-			world.send(this.process, engine.process, () => {
-				engine.takeOrder(order, report => {
-					world.send(engine.process, this.process, () => {
+			simulator.send(this.process, engine.process, () => {
+				engine.receiveOrder(order, report => {
+					simulator.send(engine.process, this.process, () => {
 						answer(report);
 					});
 				});
@@ -322,9 +322,9 @@
 			return;
 		}
 
-		world.send(this.process, engine.process, () => {
+		simulator.send(this.process, engine.process, () => {
 			const report = engine.readBack(order);
-			world.send(engine.process, this.process, () => {
+			simulator.send(engine.process, this.process, () => {
 				answer(report);
 			});
 		});
@@ -332,7 +332,7 @@
 
 	#onReport(report: OrderReport): void {
 		if (report.type === 'absent') {
-			this.#context.onUnsent?.(this, report.server, report.order);
+			this.#context.onOrderAbsent?.(this, report.server, report.order);
 		}
 
 		if (this.controller && this.replica?.isLeaderReady) {
@@ -343,17 +343,17 @@
 	}
 
 	#run(effects: readonly Effect[]): void {
-		const {start} = this.process;
+		const {generation} = this.process;
 		for (const effect of effects) {
 			// A process that is killed in the middle of a step does not do the rest of it.
-			if (this.process.isAlive && this.process.start === start) {
+			if (this.process.isAlive && this.process.generation === generation) {
 				this.#runOne(effect);
 			}
 		}
 	}
 
 	#runOne(effect: Effect): void {
-		const {world, checks, mutation} = this.#context;
+		const {simulator, checker, mutation} = this.#context;
 		switch (effect.type) {
 			case 'write': {
 				this.#writes.push(effect);
@@ -374,14 +374,14 @@
 
 			case 'restore': {
 				this.state = this.#restoreState(effect.snapshot.data);
-				checks.noteRestore(this.host, effect.snapshot);
+				checker.recordRestore(this.host, effect.snapshot);
 				break;
 			}
 
 			case 'role': {
 				if (effect.role === 'leader') {
-					world.note(`${this.host} (${this.identity}) leads in term ${effect.term}`);
-					checks.noteLeader(effect.term, this.identity);
+					simulator.log(`${this.host} (${this.identity}) leads in term ${effect.term}`);
+					checker.recordLeader(effect.term, this.identity);
 				}
 
 				if (effect.role === 'leader') {
@@ -389,7 +389,7 @@
 				}
 
 				this.#subscribers.clear();
-				this.controller = effect.role === 'leader' ? new Controller(world.nowMs, this.#context.timing, orderMechanisms(mutation)) : undefined;
+				this.controller = effect.role === 'leader' ? new Controller(simulator.nowMs, this.#context.timing, createOrderMechanisms(mutation)) : undefined;
 				this.repair = effect.role === 'leader' ? this.repair : undefined;
 				break;
 			}
@@ -413,11 +413,11 @@
 	}
 
 	#send(to: Member, body: ConsensusBody): void {
-		const {world, controls} = this.#context;
+		const {simulator, controls} = this.#context;
 		const target = [...controls.values()].find(control => control.identity === to.replica);
 		const from = this.identity;
 		if (target) {
-			world.send(this.process, target.process, () => {
+			simulator.send(this.process, target.process, () => {
 				target.receive(from, to.replica, body);
 			});
 		}
@@ -429,21 +429,21 @@
 		}
 
 		this.#isSyncing = true;
-		const {world} = this.#context;
+		const {simulator} = this.#context;
 		const count = this.#writes.length;
-		world.scheduleIn(this.process, 0.2 + (world.random() * SYNC_MS), () => {
+		simulator.scheduleOn(this.process, 0.2 + (simulator.random() * SYNC_MS), () => {
 			const batch = this.#writes.splice(0, count);
 			this.#isSyncing = false;
 			this.#image = applyRecords(this.#image, batch.flatMap(write => write.records));
-			this.#run(this.replica!.step({type: 'synced', sequence: batch.at(-1)!.sequence}, world.nowMs));
+			this.#run(this.replica!.step({type: 'synced', sequence: batch.at(-1)!.sequence}, simulator.nowMs));
 			this.#sync();
 		});
 	}
 
 	#apply(entries: readonly Entry[]): void {
-		const {checks} = this.#context;
+		const {checker} = this.#context;
 		for (const entry of entries) {
-			checks.noteCommit(this.host, entry);
+			checker.recordCommit(this.host, entry);
 			const outcome = entry.type === 'command' ? this.#applyCommand(entry) : undefined;
 			if (entry.type !== 'command') {
 				this.state.skip(entry.index);
@@ -458,12 +458,12 @@
 	}
 
 	#pushViews(): void {
-		const {world} = this.#context;
-		for (const subscriber of this.hasAuthority ? this.#subscribers.values() : []) {
+		const {simulator} = this.#context;
+		for (const subscriber of this.holdsLeaderLease ? this.#subscribers.values() : []) {
 			if (subscriber.sentVersion < this.state.viewVersion) {
 				const view = this.state.updateSince(subscriber.sentVersion);
 				subscriber.sentVersion = this.state.viewVersion;
-				world.send(this.process, subscriber.process, () => {
+				simulator.send(this.process, subscriber.process, () => {
 					subscriber.push(view);
 				});
 			}
--- a/dev/fuzz/entry.ts
+++ b/dev/fuzz/entry.ts
@@ -10,19 +10,19 @@
 	Announcement, Command, LedgerAnswer, Outcome, Renew, ViewUpdate,
 } from '../../src/generated/types.js';
 import {View} from '../../src/entry/view.js';
-import type {FakeEngineProcess, FakePlainProcess} from './backend.js';
-import type {Checks, Told} from './checks.js';
-import type {ControlProcess, Reply} from './control.js';
+import type {EngineProcess, PlainServerProcess} from './backend.js';
+import type {InvariantChecker, BookingOutcome} from './invariants.js';
+import type {ControlProcess, ReplyCallback} from './control.js';
 import type {Mutation} from './mutations.js';
-import type {Process, World} from './world.js';
+import type {SimulatedProcess, Simulator} from './simulator.js';
 
 export type EntryContext = {
-	readonly world: World;
-	readonly checks: Checks;
+	readonly simulator: Simulator;
+	readonly checker: InvariantChecker;
 	readonly mutation: Mutation | undefined;
 	readonly controls: Map<string, ControlProcess>;
-	readonly engines: Map<string, FakeEngineProcess>;
-	readonly plains: readonly FakePlainProcess[];
+	readonly engines: Map<string, EngineProcess>;
+	readonly plains: readonly PlainServerProcess[];
 };
 
 const ANSWER_TIMEOUT_MS = 1000;
@@ -36,7 +36,7 @@
 
 /** One entry host. */
 export class EntryProcess {
-	readonly process: Process;
+	readonly process: SimulatedProcess;
 	readonly host: string;
 	view: View;
 	readonly #context: EntryContext;
@@ -52,7 +52,7 @@
 	constructor(context: EntryContext, host: string) {
 		this.#context = context;
 		this.host = host;
-		this.process = context.world.addProcess(host);
+		this.process = context.simulator.addProcess(host);
 		this.view = this.#createView();
 		this.#start();
 	}
@@ -62,7 +62,7 @@
 	}
 
 	kill(): void {
-		this.#context.world.kill(this.process);
+		this.#context.simulator.kill(this.process);
 	}
 
 	restart(): void {
@@ -76,7 +76,7 @@
 		}
 	}
 
-	noteAnnouncement(announcement: Announcement): void {
+	recordAnnouncement(announcement: Announcement): void {
 		const known = this.#announcements.get(announcement.server);
 		if (!known || isNewer(announcement, known)) {
 			this.#announcements.set(announcement.server, announcement);
@@ -84,53 +84,53 @@
 	}
 
 	/** Serves a call that may not be repeated. */
-	book(key: string, reply: (told: Told) => void): void {
+	bookSeat(key: string, reply: (told: BookingOutcome) => void): void {
 		this.#claim(key, {attempt: `${this.#boot}/${this.#nextAttempt++}`, polls: 0}, (attempt, told) => {
-			this.#context.checks.noteTold(key, attempt, told);
+			this.#context.checker.recordBookingOutcome(key, attempt, told);
 			reply(told);
 		});
 	}
 
 	/** Reads the configuration as an operator does; it must contain everything that was accepted before. */
-	readState(): void {
-		const {checks} = this.#context;
-		const floor = checks.acceptedVersion;
+	readConfiguration(): void {
+		const {checker} = this.#context;
+		const floor = checker.highestAcceptedVersion;
 		this.#ask<number>(3000, (control, answer) => {
 			control.read(state => {
 				answer(Either.map((found: {viewVersion: number}) => found.viewVersion)(state));
 			});
 		}, version => {
 			if (version !== undefined) {
-				checks.noteRead(this.host, version, floor);
+				checker.recordRead(this.host, version, floor);
 			}
 		});
 	}
 
 	/** Sends a repeatable request to an engine that the view allows. */
-	runModel(request: string): void {
-		const {engines, world} = this.#context;
+	sendModelRequest(request: string): void {
+		const {engines, simulator} = this.#context;
 		const allowed = [...engines.values()].filter(engine => !this.view.findExclusion(engine.name));
-		const engine = pick(allowed, world.random);
+		const engine = pick(allowed, simulator.random);
 		if (!engine) {
 			return;
 		}
 
 		const {name} = engine;
-		const {start} = this.process;
-		const isEntitled = world.nowMs < this.#leaseUntilMs;
+		const {generation} = this.process;
+		const isEntitled = simulator.nowMs < this.#leaseUntilMs;
 		const end = () => {
-			if (this.process.start === start) {
+			if (this.process.generation === generation) {
 				this.#running.set(name, Math.max(0, (this.#running.get(name) ?? 0) - 1));
 			}
 		};
 
 		this.#running.set(name, (this.#running.get(name) ?? 0) + 1);
-		world.send(this.process, engine.process, () => {
-			engine.run(request, isEntitled, () => {
-				world.send(engine.process, this.process, end);
+		simulator.send(this.process, engine.process, () => {
+			engine.runRequest(request, isEntitled, () => {
+				simulator.send(engine.process, this.process, end);
 			});
 		});
-		world.scheduleIn(this.process, 2000, end);
+		simulator.scheduleOn(this.process, 2000, end);
 	}
 
 	/** Proposes an idempotent command until it is answered or the deadline has passed. */
@@ -177,8 +177,8 @@
 	}
 
 	#renew(): void {
-		const {world} = this.#context;
-		const askedMs = world.nowMs;
+		const {simulator} = this.#context;
+		const askedMs = simulator.nowMs;
 		const servers = this.view.listChanging();
 		const message: Renew = {
 			type: 'renew',
@@ -202,7 +202,7 @@
 				this.#leaseUntilMs = Math.max(this.#leaseUntilMs, askedMs + renewed.leaseMs);
 			}
 
-			world.scheduleIn(this.process, RENEW_MS * (0.5 + world.random()), () => {
+			simulator.scheduleOn(this.process, RENEW_MS * (0.5 + simulator.random()), () => {
 				this.#renew();
 			});
 		});
@@ -210,14 +210,14 @@
 
 	#apply(update: ViewUpdate): void {
 		if (this.view.apply(update)) {
-			this.#context.checks.noteView(this.host, this.view.version, this.view.list());
+			this.#context.checker.recordView(this.host, this.view.version, this.view.list());
 		}
 	}
 
-	#claim(key: string, {attempt, polls}: {attempt: string; polls: number}, reply: (attempt: string, told: Told) => void): void {
-		const {world} = this.#context;
+	#claim(key: string, {attempt, polls}: {attempt: string; polls: number}, reply: (attempt: string, told: BookingOutcome) => void): void {
+		const {simulator} = this.#context;
 		const command: Command = {
-			type: 'claim', at: Math.floor(world.nowMs), key, fingerprint: key, attempt, host: this.host,
+			type: 'claim', at: Math.floor(simulator.nowMs), key, fingerprint: key, attempt, host: this.host,
 		};
 		this.propose(command, CLAIM_DEADLINE_MS, outcome => {
 			const answer = outcome as LedgerAnswer | undefined;
@@ -231,7 +231,7 @@
 		});
 	}
 
-	#onClaim(claim: {key: string; attempt: string; polls: number}, answer: LedgerAnswer, reply: (attempt: string, told: Told) => void): void {
+	#onClaim(claim: {key: string; attempt: string; polls: number}, answer: LedgerAnswer, reply: (attempt: string, told: BookingOutcome) => void): void {
 		const {key, attempt, polls} = claim;
 		switch (answer.state) {
 			case 'granted': {
@@ -248,7 +248,7 @@
 					return;
 				}
 
-				this.#context.world.scheduleIn(this.process, POLL_MS, () => {
+				this.#context.simulator.scheduleOn(this.process, POLL_MS, () => {
 					this.#claim(key, {attempt, polls: polls + 1}, reply);
 				});
 				break;
@@ -269,10 +269,10 @@
 		}
 	}
 
-	#runOnce(key: string, attempt: string, reply: (told: Told) => void): void {
-		const {world, plains, mutation} = this.#context;
+	#runOnce(key: string, attempt: string, reply: (told: BookingOutcome) => void): void {
+		const {simulator, plains, mutation} = this.#context;
 		let isSettled = false;
-		const finish = (told: Told) => {
+		const finish = (told: BookingOutcome) => {
 			if (!isSettled) {
 				isSettled = true;
 				this.#settle(key, attempt, told, () => {
@@ -282,15 +282,15 @@
 		};
 
 		const send = () => {
-			const plain = pick(plains, world.random)!;
+			const plain = pick(plains, simulator.random)!;
 			if (!plain.process.isAlive) {
 				finish({type: 'not-run'});
 				return;
 			}
 
-			world.send(this.process, plain.process, () => {
-				plain.run(key, attempt, booking => {
-					world.send(plain.process, this.process, () => {
+			simulator.send(this.process, plain.process, () => {
+				plain.runBooking(key, attempt, booking => {
+					simulator.send(plain.process, this.process, () => {
 						finish({type: 'done', booking});
 					});
 				});
@@ -298,17 +298,17 @@
 		};
 
 		send();
-		world.scheduleIn(this.process, PLAIN_TIMEOUT_MS, () => {
+		simulator.scheduleOn(this.process, PLAIN_TIMEOUT_MS, () => {
 			if (mutation === 'retry-non-repeatable' && !isSettled) {
 				send();
 			}
 		});
-		world.scheduleIn(this.process, PLAIN_TIMEOUT_MS * 2, () => {
+		simulator.scheduleOn(this.process, PLAIN_TIMEOUT_MS * 2, () => {
 			finish({type: 'unknown'});
 		});
 	}
 
-	#settle(key: string, attempt: string, told: Told, reply: () => void = () => undefined): void {
+	#settle(key: string, attempt: string, told: BookingOutcome, reply: () => void = () => undefined): void {
 		const answer = told.type === 'done' ? {answer: {status: 200, contentType: 'text/plain', body: new TextEncoder().encode(told.booking)}} : {};
 		let isReplied = false;
 		const once = () => {
@@ -319,23 +319,23 @@
 		};
 
 		this.propose({
-			type: 'settle', at: Math.floor(this.#context.world.nowMs), key, attempt, outcome: told.type, ...answer,
+			type: 'settle', at: Math.floor(this.#context.simulator.nowMs), key, attempt, outcome: told.type, ...answer,
 		}, SETTLE_DEADLINE_MS, once);
 		// The caller waits for the ledger only for a while.
-		this.#context.world.scheduleIn(this.process, 2000, once);
+		this.#context.simulator.scheduleOn(this.process, 2000, once);
 	}
 
 	/** Asks control hosts in turn until one answers or the deadline has passed. */
-	#ask<Answer>(deadlineMs: number, question: (control: ControlProcess, answer: Reply<Answer>) => void, reply: (answer: Answer | undefined) => void): void {
-		const {world, controls} = this.#context;
-		const untilMs = world.nowMs + deadlineMs;
+	#ask<Answer>(deadlineMs: number, question: (control: ControlProcess, answer: ReplyCallback<Answer>) => void, reply: (answer: Answer | undefined) => void): void {
+		const {simulator, controls} = this.#context;
+		const untilMs = simulator.nowMs + deadlineMs;
 		const turn = () => {
-			if (world.nowMs >= untilMs) {
+			if (simulator.nowMs >= untilMs) {
 				reply(undefined);
 				return;
 			}
 
-			const control = controls.get(this.#leader ?? '') ?? pick([...controls.values()], world.random)!;
+			const control = controls.get(this.#leader ?? '') ?? pick([...controls.values()], simulator.random)!;
 			let isAnswered = false;
 			const onAnswer = (answer: Either.Either<string, Answer> | undefined) => {
 				if (isAnswered) {
@@ -350,17 +350,17 @@
 				}
 
 				this.#leader = undefined;
-				world.scheduleIn(this.process, RETRY_MS, turn);
+				simulator.scheduleOn(this.process, RETRY_MS, turn);
 			};
 
-			world.send(this.process, control.process, () => {
+			simulator.send(this.process, control.process, () => {
 				question(control, answer => {
-					world.send(control.process, this.process, () => {
+					simulator.send(control.process, this.process, () => {
 						onAnswer(answer);
 					});
 				});
 			});
-			world.scheduleIn(this.process, ANSWER_TIMEOUT_MS, () => {
+			simulator.scheduleOn(this.process, ANSWER_TIMEOUT_MS, () => {
 				onAnswer(undefined);
 			});
 		};
--- a/dev/fuzz/checks.ts
+++ b/dev/fuzz/invariants.ts
@@ -13,7 +13,7 @@
 import type {Mutation} from './mutations.js';
 
 /** What a caller was told about work that may not be repeated. */
-export type Told
+export type BookingOutcome
 	= | {readonly type: 'done'; readonly booking: string}
 		| {readonly type: 'not-run'}
 		| {readonly type: 'unknown'};
@@ -24,11 +24,11 @@
 };
 
 /** Collects what the processes do and finds what must not be. */
-export class Checks {
+export class InvariantChecker {
 	readonly violations: string[] = [];
-	readonly firstConfiguration: Configuration;
+	readonly initialConfiguration: Configuration;
 	/** The state as the committed log makes it, each entry applied once. */
-	reference: ControlState;
+	referenceState: ControlState;
 	readonly #mutation: Mutation | undefined;
 	readonly #leaders = new Map<number, string>();
 	readonly #committed = new Map<number, Committed>();
@@ -45,43 +45,43 @@
 	#referenceIndex = 0;
 	#acceptedVersion = 0;
 
-	constructor(firstConfiguration: Configuration, mutation: Mutation | undefined) {
-		this.firstConfiguration = firstConfiguration;
+	constructor(initialConfiguration: Configuration, mutation: Mutation | undefined) {
+		this.initialConfiguration = initialConfiguration;
 		this.#mutation = mutation;
-		this.reference = new ControlState(undefined, mutation !== 'no-claim-before-send');
+		this.referenceState = new ControlState(undefined, mutation !== 'no-claim-before-send');
 	}
 
-	get runCount(): number {
+	get executedKeyCount(): number {
 		return this.#runsByKey.size;
 	}
 
 	/** The highest version that an operator was told. */
-	get acceptedVersion(): number {
+	get highestAcceptedVersion(): number {
 		return this.#acceptedVersion;
 	}
 
-	get orderCount(): number {
+	get sentOrderCount(): number {
 		return this.#sentOrders.size;
 	}
 
-	get committedCount(): number {
+	get committedEntryCount(): number {
 		return this.#committed.size;
 	}
 
-	noteLeader(term: number, identity: string): void {
+	recordLeader(term: number, identity: string): void {
 		const known = this.#leaders.get(term);
 		if (known !== undefined && known !== identity) {
-			this.fail(`two leaders in term ${term}: ${known} and ${identity}`);
+			this.reportViolation(`two leaders in term ${term}: ${known} and ${identity}`);
 		}
 
 		this.#leaders.set(term, identity);
 	}
 
-	noteCommit(host: string, entry: Entry): void {
+	recordCommit(host: string, entry: Entry): void {
 		const hash = createHash('sha1').update(entry.type === 'command' ? entry.data : JSON.stringify(entry)).digest('base64');
 		const known = this.#committed.get(entry.index);
 		if (known && (known.term !== entry.term || known.hash !== hash)) {
-			this.fail(`${host} commits another entry at ${entry.index}: term ${entry.term}, was term ${known.term}`);
+			this.reportViolation(`${host} commits another entry at ${entry.index}: term ${entry.term}, was term ${known.term}`);
 			return;
 		}
 
@@ -92,80 +92,80 @@
 		}
 	}
 
-	noteRestore(host: string, snapshot: Snapshot): void {
+	recordRestore(host: string, snapshot: Snapshot): void {
 		const known = this.#committed.get(snapshot.index);
 		if (known && known.term !== snapshot.term) {
-			this.fail(`${host} restores another entry at ${snapshot.index}`);
+			this.reportViolation(`${host} restores another entry at ${snapshot.index}`);
 		}
 	}
 
 	/** Compares the replicas that may act as leader now. */
-	checkAuthority(controls: Iterable<ControlProcess>): void {
-		const holders = [...controls].filter(control => control.hasAuthority);
+	checkSingleLeaseHolder(controls: Iterable<ControlProcess>): void {
+		const holders = [...controls].filter(control => control.holdsLeaderLease);
 		if (holders.length > 1) {
-			this.fail(`${holders.map(control => control.identity).join(' and ')} hold authority at once`);
+			this.reportViolation(`${holders.map(control => control.identity).join(' and ')} hold authority at once`);
 		}
 	}
 
-	noteView(host: string, version: number, resources: readonly Resource[]): void {
+	recordView(host: string, version: number, resources: readonly Resource[]): void {
 		const before = this.#inForce.get(host) ?? -1;
 		if (version < before) {
-			this.fail(`configuration at ${host} goes back from ${before} to ${version}`);
+			this.reportViolation(`configuration at ${host} goes back from ${before} to ${version}`);
 		}
 
 		this.#inForce.set(host, version);
 		const expected = this.#digests.get(version);
 		if (version > 0 && expected !== undefined && expected !== describeResources(resources)) {
-			this.fail(`${host} holds another configuration ${version} than was accepted`);
+			this.reportViolation(`${host} holds another configuration ${version} than was accepted`);
 		}
 	}
 
-	noteRun(key: string, attempt: string): void {
+	recordRun(key: string, attempt: string): void {
 		const runs = this.#runsByKey.get(key) ?? [];
 		runs.push(attempt);
 		this.#runsByKey.set(key, runs);
 		if (runs.length > 1) {
-			this.fail(`${key} ran ${runs.length} times: ${runs.join(', ')}`);
+			this.reportViolation(`${key} ran ${runs.length} times: ${runs.join(', ')}`);
 		}
 
 		if (this.#notRunAttempts.has(attempt)) {
-			this.fail(`${key} runs as ${attempt}, of which a caller was told that it did not run`);
+			this.reportViolation(`${key} runs as ${attempt}, of which a caller was told that it did not run`);
 		}
 	}
 
-	noteTold(key: string, attempt: string, told: Told): void {
+	recordBookingOutcome(key: string, attempt: string, told: BookingOutcome): void {
 		if (told.type === 'not-run') {
 			this.#notRunAttempts.add(attempt);
 			if (this.#runsByKey.get(key)?.includes(attempt)) {
-				this.fail(`a caller is told that ${key} did not run as ${attempt}, but it did`);
+				this.reportViolation(`a caller is told that ${key} did not run as ${attempt}, but it did`);
 			}
 		}
 
 		if (told.type === 'done') {
 			const known = this.#answersByKey.get(key);
 			if (known !== undefined && known !== told.booking) {
-				this.fail(`${key} is answered with ${told.booking}, before with ${known}`);
+				this.reportViolation(`${key} is answered with ${told.booking}, before with ${known}`);
 			}
 
 			this.#answersByKey.set(key, told.booking);
 			if (!told.booking.startsWith(key)) {
-				this.fail(`${key} gets the answer of another request: ${told.booking}`);
+				this.reportViolation(`${key} gets the answer of another request: ${told.booking}`);
 			}
 		}
 	}
 
-	noteRead(host: string, version: number, floor: number): void {
+	recordRead(host: string, version: number, floor: number): void {
 		if (version < floor) {
-			this.fail(`a read through ${host} shows configuration ${version}, though ${floor} was accepted before it began`);
+			this.reportViolation(`a read through ${host} shows configuration ${version}, though ${floor} was accepted before it began`);
 		}
 	}
 
 	/** Notes what an operator was told. */
-	notePut(requestId: string, name: string, seen: number, outcome: Outcome): void {
+	recordPut(requestId: string, name: string, seen: number, outcome: Outcome): void {
 		const text = JSON.stringify(outcome);
 		const known = this.#outcomes.get(requestId);
 		if (known !== undefined && known !== text) {
-			this.fail(`request ${requestId} is answered ${text}, before ${known}`);
+			this.reportViolation(`request ${requestId} is answered ${text}, before ${known}`);
 		}
 
 		this.#outcomes.set(requestId, text);
@@ -177,36 +177,36 @@
 			const key = `${name}@${seen}`;
 			const winner = this.#accepted.get(key);
 			if (winner !== undefined && winner !== requestId) {
-				this.fail(`both ${winner} and ${requestId} are accepted on ${key}`);
+				this.reportViolation(`both ${winner} and ${requestId} are accepted on ${key}`);
 			}
 
 			this.#accepted.set(key, requestId);
 		}
 	}
 
-	noteOrderSent(server: string, order: number): void {
+	recordOrderSent(server: string, order: number): void {
 		this.#sentOrders.set(`${server}/${order}`, order);
 	}
 
 	/** Highest order that a server has carried out; 0 if none. */
-	highestExecuted(server: string): number {
+	findHighestExecutedOrder(server: string): number {
 		return this.#executed.get(server) ?? 0;
 	}
 
-	noteOrderExecuted(server: string, order: number): void {
+	recordOrderExecuted(server: string, order: number): void {
 		const highest = this.#executed.get(server) ?? 0;
 		if (order < highest) {
-			this.fail(`${server} carries out order ${order} after order ${highest}`);
+			this.reportViolation(`${server} carries out order ${order} after order ${highest}`);
 		}
 
 		this.#executed.set(server, Math.max(order, highest));
 	}
 
-	noteCut(server: string, request: string): void {
-		this.fail(`the order at ${server} cuts request ${request}`);
+	recordInterruptedRequest(server: string, request: string): void {
+		this.reportViolation(`the order at ${server} cuts request ${request}`);
 	}
 
-	fail(text: string): void {
+	reportViolation(text: string): void {
 		this.violations.push(text);
 	}
 
@@ -222,10 +222,10 @@
 			if (entry.type === 'command') {
 				const command = decodeValue(entry.data) as Command;
 				const isJudgedAnew = this.#mutation === 'no-request-memory' && command.type === 'put';
-				this.reference.apply(isJudgedAnew ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
-				this.#digests.set(this.reference.viewVersion, describeResources(this.reference.listResources()));
+				this.referenceState.apply(isJudgedAnew ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
+				this.#digests.set(this.referenceState.viewVersion, describeResources(this.referenceState.listResources()));
 			} else {
-				this.reference.skip(entry.index);
+				this.referenceState.skip(entry.index);
 			}
 		}
 	}
--- a/dev/fuzz/mutations.ts
+++ b/dev/fuzz/mutations.ts
@@ -35,7 +35,7 @@
  * consensusMechanisms('vote-not-kept').hardStateKept; // false
  * ```
  */
-export function consensusMechanisms(mutation: Mutation | undefined): Mechanisms {
+export function createConsensusMechanisms(mutation: Mutation | undefined): Mechanisms {
 	return {
 		...ALL_MECHANISMS,
 		syncBeforeReply: mutation !== 'no-sync-before-reply',
@@ -57,7 +57,7 @@
  * orderMechanisms('no-read-back').readBack; // false
  * ```
  */
-export function orderMechanisms(mutation: Mutation | undefined): OrderMechanisms {
+export function createOrderMechanisms(mutation: Mutation | undefined): OrderMechanisms {
 	return {
 		...ALL_ORDER_MECHANISMS,
 		waitOutLease: mutation !== 'no-lease-wait-out',
--- a/dev/fuzz/run.ts
+++ b/dev/fuzz/run.ts
@@ -10,12 +10,12 @@
 import type {
 	Configuration, Member, Outcome, Specification,
 } from '../../src/generated/types.js';
-import {FakeEngineProcess, FakePlainProcess} from './backend.js';
-import {Checks} from './checks.js';
+import {EngineProcess, PlainServerProcess} from './backend.js';
+import {InvariantChecker} from './invariants.js';
 import {ControlProcess, type ControlContext} from './control.js';
 import {EntryProcess} from './entry.js';
 import type {Mutation} from './mutations.js';
-import {World, type FaultCounts, type Process} from './world.js';
+import {Simulator, type FaultCounts, type SimulatedProcess} from './simulator.js';
 
 export type RunResult = {
 	readonly seed: number;
@@ -75,12 +75,12 @@
 class Run {
 	readonly #seed: number;
 	readonly #random: Random;
-	readonly #world: World;
-	readonly #checks: Checks;
+	readonly #simulator: Simulator;
+	readonly #checker: InvariantChecker;
 	readonly #temper: Temper;
 	readonly #controls = new Map<string, ControlProcess>();
-	readonly #engines = new Map<string, FakeEngineProcess>();
-	readonly #plains: FakePlainProcess[] = [];
+	readonly #engines = new Map<string, EngineProcess>();
+	readonly #plains: PlainServerProcess[] = [];
 	readonly #entries: EntryProcess[] = [];
 	readonly #unanswered = new Set<string>();
 	/** Leaders that have been cut off since their election. */
@@ -93,12 +93,12 @@
 	constructor(seed: number, mutation: Mutation | undefined) {
 		this.#seed = seed;
 		this.#random = createRandom((seed * 7919) + 13);
-		this.#world = new World(this.#random);
+		this.#simulator = new Simulator(this.#random);
 		this.#temper = this.#drawTemper();
 		const configuration = createConfiguration(this.#temper.controls);
-		this.#checks = new Checks(configuration, mutation);
+		this.#checker = new InvariantChecker(configuration, mutation);
 		const context = {
-			world: this.#world, checks: this.#checks, mutation, controls: this.#controls, engines: this.#engines, plains: this.#plains, maxEntriesPerAppend: this.#temper.entriesPerAppend, timing: this.#temper.timing, onLeader: (control: ControlProcess) => {
+			simulator: this.#simulator, checker: this.#checker, mutation, controls: this.#controls, engines: this.#engines, plains: this.#plains, maxEntriesPerAppend: this.#temper.entriesPerAppend, timing: this.#temper.timing, onLeader: (control: ControlProcess) => {
 				this.#onLeader(control);
 			},
 			onCommit: (control: ControlProcess) => {
@@ -112,20 +112,20 @@
 	}
 
 	execute(): RunResult {
-		const world = this.#world;
+		const simulator = this.#simulator;
 		this.#scheduleWork();
 		this.#scheduleFault();
 		const check = () => {
-			this.#checks.checkAuthority(this.#controls.values());
-			if (this.#checks.violations.length > 0) {
+			this.#checker.checkSingleLeaseHolder(this.#controls.values());
+			if (this.#checker.violations.length > 0) {
 				throw new Stop();
 			}
 		};
 
 		try {
-			world.runUntil(TROUBLE_MS, check);
+			simulator.runUntil(TROUBLE_MS, check);
 			this.#heal();
-			world.runUntil(TROUBLE_MS + HEALING_MS, check);
+			simulator.runUntil(TROUBLE_MS + HEALING_MS, check);
 			this.#checkLiveness();
 		} catch (error) {
 			if (!(error instanceof Stop)) {
@@ -135,13 +135,13 @@
 
 		return {
 			seed: this.#seed,
-			steps: world.steps,
-			faults: world.faults,
-			commits: this.#checks.committedCount,
-			keys: this.#checks.runCount,
-			orders: this.#checks.orderCount,
-			violation: this.#checks.violations[0],
-			trace: world.trace,
+			steps: simulator.steps,
+			faults: simulator.faults,
+			commits: this.#checker.committedEntryCount,
+			keys: this.#checker.executedKeyCount,
+			orders: this.#checker.sentOrderCount,
+			violation: this.#checker.violations[0],
+			trace: simulator.trace,
 		};
 	}
 
@@ -169,13 +169,13 @@
 		};
 	}
 
-	#startProcesses(context: ControlContext & {plains: readonly FakePlainProcess[]}, configuration: Configuration): void {
+	#startProcesses(context: ControlContext & {plains: readonly PlainServerProcess[]}, configuration: Configuration): void {
 		for (const member of configuration.voters) {
 			new ControlProcess(context, member.host, configuration); // eslint-disable-line no-new
 		}
 
 		for (const name of ['plain1', 'plain2']) {
-			this.#plains.push(new FakePlainProcess(name, this.#world, this.#checks));
+			this.#plains.push(new PlainServerProcess(name, this.#simulator, this.#checker));
 		}
 
 		for (const host of ['entry1', 'entry2']) {
@@ -183,11 +183,11 @@
 		}
 
 		for (const [name, checksFence] of [['fenced', true], ['unfenced', false], ['unfenced2', false]] as const) {
-			const engine: FakeEngineProcess = new FakeEngineProcess({
+			const engine: EngineProcess = new EngineProcess({
 				name,
 				checksFence,
-				world: this.#world,
-				checks: this.#checks,
+				simulator: this.#simulator,
+				checker: this.#checker,
 				mutation: context.mutation,
 				announce: announcement => {
 					this.#announce(announcement);
@@ -197,12 +197,12 @@
 		}
 	}
 
-	#announce(announcement: Parameters<EntryProcess['noteAnnouncement']>[0]): void {
+	#announce(announcement: Parameters<EntryProcess['recordAnnouncement']>[0]): void {
 		const engine = this.#engines.get(announcement.server);
 		for (const entry of this.#entries) {
 			if (engine) {
-				this.#world.send(engine.process, entry.process, () => {
-					entry.noteAnnouncement(announcement);
+				this.#simulator.send(engine.process, entry.process, () => {
+					entry.recordAnnouncement(announcement);
 				});
 			}
 		}
@@ -237,13 +237,13 @@
 
 	#every(meanMs: number, work: () => void): void {
 		const again = () => {
-			if (this.#world.nowMs < TROUBLE_MS + (HEALING_MS - LIVENESS_GRACE_MS)) {
+			if (this.#simulator.nowMs < TROUBLE_MS + (HEALING_MS - LIVENESS_GRACE_MS)) {
 				work();
-				this.#world.schedule(meanMs * (0.4 + (this.#random() * 1.2)), again);
+				this.#simulator.schedule(meanMs * (0.4 + (this.#random() * 1.2)), again);
 			}
 		};
 
-		this.#world.schedule(meanMs * this.#random(), again);
+		this.#simulator.schedule(meanMs * this.#random(), again);
 	}
 
 	#bookSomething(): void {
@@ -251,7 +251,7 @@
 		this.#unanswered.add(key);
 		this.#sendBooking(key);
 		if (this.#random() < 0.4) {
-			this.#world.schedule(this.#random() * 400, () => {
+			this.#simulator.schedule(this.#random() * 400, () => {
 				this.#sendBooking(key);
 			});
 		}
@@ -269,15 +269,15 @@
 			}
 		};
 
-		entry?.book(key, told => {
+		entry?.bookSeat(key, told => {
 			isAnswered = true;
 			if (told.type === 'not-run') {
-				this.#world.schedule(200, again);
+				this.#simulator.schedule(200, again);
 			} else {
 				this.#unanswered.delete(key);
 			}
 		});
-		this.#world.schedule(entry ? 2500 : 200, () => {
+		this.#simulator.schedule(entry ? 2500 : 200, () => {
 			if (!isAnswered) {
 				again();
 			}
@@ -285,7 +285,7 @@
 	}
 
 	#readState(): void {
-		pick(this.#entries.filter(entry => entry.isReady), this.#random)?.readState();
+		pick(this.#entries.filter(entry => entry.isReady), this.#random)?.readConfiguration();
 	}
 
 	/** A leader is paused while an order of its is open: the hardest moment for engines that check no fences. */
@@ -294,9 +294,9 @@
 		const isOpen = leader?.state.listOpenOrders().some(order => order.server.startsWith('unfenced')) ?? false;
 		if (leader && isOpen && !this.#isHealed && !this.#isControlPaused() && this.#random() < this.#temper.orderPauses) {
 			this.#fault('pause', `${leader.host} during an order`);
-			this.#world.pause(leader.process);
-			this.#world.schedule(4500 + (this.#random() * 4000), () => {
-				this.#world.resume(leader.process);
+			this.#simulator.pause(leader.process);
+			this.#simulator.schedule(4500 + (this.#random() * 4000), () => {
+				this.#simulator.resume(leader.process);
 			});
 		}
 	}
@@ -314,15 +314,15 @@
 		}
 
 		this.#fault('pause', `${host} before order ${order} to ${server}`);
-		this.#world.pause(process);
-		const untilMs = this.#world.nowMs + LONGEST_PAUSE_MS;
+		this.#simulator.pause(process);
+		const untilMs = this.#simulator.nowMs + LONGEST_PAUSE_MS;
 		const look = () => {
-			if (this.#checks.highestExecuted(server) > order || this.#world.nowMs > untilMs || this.#isHealed) {
-				this.#world.resume(process);
+			if (this.#checker.findHighestExecutedOrder(server) > order || this.#simulator.nowMs > untilMs || this.#isHealed) {
+				this.#simulator.resume(process);
 				return;
 			}
 
-			this.#world.schedule(20 + (this.#random() * 100), look);
+			this.#simulator.schedule(20 + (this.#random() * 100), look);
 		};
 
 		look();
@@ -338,13 +338,13 @@
 		const left = shuffle(others, this.#random).slice(reached);
 		this.#fault('cut', `${control.host}, just elected, from ${left.map(({host}) => host).join(' ')}`);
 		for (const {host} of left) {
-			this.#world.cut(control.host, host);
-			this.#world.cut(host, control.host);
+			this.#simulator.blockLink(control.host, host);
+			this.#simulator.blockLink(host, control.host);
 		}
 
 		this.#isolated.add(control);
-		this.#world.schedule(10 + (this.#random() * 200), () => {
-			this.#world.healCuts();
+		this.#simulator.schedule(10 + (this.#random() * 200), () => {
+			this.#simulator.unblockLinks();
 			if (this.#isolated.delete(control) && control.process.isAlive && this.#random() < 0.7) {
 				this.#killForAMoment(control, 'cut off since its election');
 			}
@@ -362,7 +362,7 @@
 	#killForAMoment(control: ControlProcess, detail: string): void {
 		this.#fault('kill', `${control.host}, ${detail}`);
 		control.kill({wipe: false});
-		this.#world.schedule(50 + (this.#random() * 1500), () => {
+		this.#simulator.schedule(50 + (this.#random() * 1500), () => {
 			control.restart();
 		});
 	}
@@ -375,7 +375,7 @@
 		}
 
 		if (!this.#isHealed && this.#random() < this.#temper.coups) {
-			this.#world.schedule(this.#random() * 25, () => {
+			this.#simulator.schedule(this.#random() * 25, () => {
 				if (control.process.isAlive) {
 					this.#killForAMoment(control, 'just elected');
 				}
@@ -384,7 +384,7 @@
 	}
 
 	#runModel(): void {
-		pick(this.#entries.filter(entry => entry.isReady), this.#random)?.runModel(`model${this.#nextModel++}`);
+		pick(this.#entries.filter(entry => entry.isReady), this.#random)?.sendModelRequest(`model${this.#nextModel++}`);
 	}
 
 	/** Two operators see the same version and both write; one of them sends again after a lost answer. */
@@ -398,7 +398,7 @@
 			const send = () => {
 				const through = pick(this.#entries.filter(one => one.isReady), this.#random);
 				through?.propose({
-					type: 'put', at: Math.floor(this.#world.nowMs), requestId, name, seen, specification,
+					type: 'put', at: Math.floor(this.#simulator.nowMs), requestId, name, seen, specification,
 				}, 3000, outcome => {
 					this.#onPut(requestId, name, seen, outcome);
 				});
@@ -406,14 +406,14 @@
 
 			send();
 			if (this.#random() < 0.3) {
-				this.#world.schedule(this.#random() * 1000, send);
+				this.#simulator.schedule(this.#random() * 1000, send);
 			}
 		}
 	}
 
 	#onPut(requestId: string, name: string, seen: number, outcome: Outcome | undefined): void {
 		if (outcome) {
-			this.#checks.notePut(requestId, name, seen, outcome);
+			this.#checker.recordPut(requestId, name, seen, outcome);
 		}
 	}
 
@@ -425,7 +425,7 @@
 				kind: 'change', action: 'role', server, role: this.#random() < 0.5 ? 'prefill' : 'decode',
 			};
 		pick(this.#entries.filter(one => one.isReady), this.#random)?.propose({
-			type: 'put', at: Math.floor(this.#world.nowMs), requestId: `change${this.#nextPut}`, name: `change${this.#nextPut++}`, seen: 0, specification,
+			type: 'put', at: Math.floor(this.#simulator.nowMs), requestId: `change${this.#nextPut}`, name: `change${this.#nextPut++}`, seen: 0, specification,
 		}, 3000, () => undefined);
 	}
 
@@ -435,7 +435,7 @@
 			const isFinished = ['done', 'drained', 'failed'].includes(resource.status?.phase ?? '');
 			if (isFinished && this.#random() < 0.6) {
 				entry?.propose({
-					type: 'remove', at: Math.floor(this.#world.nowMs), requestId: `remove${this.#nextPut++}`, kind: 'change', name: resource.name, seen: resource.version,
+					type: 'remove', at: Math.floor(this.#simulator.nowMs), requestId: `remove${this.#nextPut++}`, kind: 'change', name: resource.name, seen: resource.version,
 				}, 3000, () => undefined);
 			}
 		}
@@ -462,7 +462,7 @@
 			return;
 		}
 
-		this.#world.schedule(this.#temper.faultEveryMs * (0.3 + (this.#random() * 1.4)), () => {
+		this.#simulator.schedule(this.#temper.faultEveryMs * (0.3 + (this.#random() * 1.4)), () => {
 			if (!this.#isHealed) {
 				this.#injectFault();
 				if (this.#random() < 0.25) {
@@ -507,10 +507,10 @@
 
 		this.#fault('kill', process.name);
 		kill();
-		this.#world.schedule(50 + (this.#random() * 2500), restart);
+		this.#simulator.schedule(50 + (this.#random() * 2500), restart);
 	}
 
-	#listKillable(): Array<{process: Process; kill: () => void; restart: () => void}> {
+	#listKillable(): Array<{process: SimulatedProcess; kill: () => void; restart: () => void}> {
 		const controls = [...this.#controls.values()].map(control => ({
 			process: control.process, kill() {
 				control.kill({wipe: false});
@@ -537,7 +537,7 @@
 		if (control?.process.isAlive && !isRepairing && voters.size === this.#controls.size) {
 			this.#fault('wipe', control.host);
 			control.kill({wipe: true});
-			this.#world.schedule(50 + (this.#random() * 1000), () => {
+			this.#simulator.schedule(50 + (this.#random() * 1000), () => {
 				control.restart();
 			});
 		}
@@ -553,37 +553,37 @@
 	}
 
 	#pauseSomething(): void {
-		const target = pick([...this.#world.processes.values()].filter(process => process.isAlive && !process.isPaused), this.#random);
+		const target = pick([...this.#simulator.processes.values()].filter(process => process.isAlive && !process.isPaused), this.#random);
 		const leader = [...this.#controls.values()].find(control => control.isLeader);
 		const process = this.#random() < 0.4 && leader && !leader.process.isPaused ? leader.process : target;
 		if (process) {
 			this.#fault('pause', process.name);
-			this.#world.pause(process);
+			this.#simulator.pause(process);
 			const long = this.#random() < 0.3 ? LONGEST_PAUSE_MS : 1500;
-			this.#world.schedule(50 + (this.#random() * long), () => {
-				this.#world.note(`${process.name} goes on`);
-				this.#world.resume(process);
+			this.#simulator.schedule(50 + (this.#random() * long), () => {
+				this.#simulator.log(`${process.name} goes on`);
+				this.#simulator.resume(process);
 			});
 		}
 	}
 
 	#cutSomething(): void {
-		const names = [...this.#world.processes.keys()];
+		const names = [...this.#simulator.processes.keys()];
 		const isOneWay = this.#random() < 0.4;
 		const target = this.#random() < 0.5 ? [...this.#controls.values()].find(control => control.isLeader)?.host : undefined;
 		const victim = target ?? pick(names, this.#random)!;
 		const others = names.filter(name => name !== victim && this.#random() < 0.8);
 		this.#fault(isOneWay ? 'cut one way' : 'cut', `${victim} from ${others.join(' ')}`);
 		for (const other of others) {
-			this.#world.cut(victim, other);
+			this.#simulator.blockLink(victim, other);
 			if (!isOneWay) {
-				this.#world.cut(other, victim);
+				this.#simulator.blockLink(other, victim);
 			}
 		}
 
-		this.#world.schedule(100 + (this.#random() * 3500), () => {
-			this.#world.note('cuts heal');
-			this.#world.healCuts();
+		this.#simulator.schedule(100 + (this.#random() * 3500), () => {
+			this.#simulator.log('cuts heal');
+			this.#simulator.unblockLinks();
 		});
 	}
 
@@ -591,37 +591,37 @@
 		const leader = [...this.#controls.values()].find(control => control.isLeader && !control.process.isPaused);
 		if (leader) {
 			this.#fault('hand over', leader.host);
-			leader.handOver();
+			leader.transferLeadership();
 		}
 	}
 
 	#stormNetwork(): void {
 		this.#fault('storm', 'drops, duplicates and delays');
-		const {weather} = this.#world;
-		weather.dropShare = this.#random() * 0.25;
-		weather.duplicateShare = this.#random() * 0.2;
-		weather.delayMs = 5 + (this.#random() * this.#temper.stormDelayMs);
-		this.#world.schedule(200 + (this.#random() * 2000), () => {
+		const {network} = this.#simulator;
+		network.dropProbability = this.#random() * 0.25;
+		network.duplicateProbability = this.#random() * 0.2;
+		network.maxDelayMs = 5 + (this.#random() * this.#temper.stormDelayMs);
+		this.#simulator.schedule(200 + (this.#random() * 2000), () => {
 			this.#calmNetwork();
 		});
 	}
 
 	#calmNetwork(): void {
-		Object.assign(this.#world.weather, {dropShare: 0, duplicateShare: 0, delayMs: 3});
+		Object.assign(this.#simulator.network, {dropShare: 0, duplicateShare: 0, delayMs: 3});
 	}
 
 	#fault(kind: string, detail: string): void {
-		this.#world.countFault(kind);
-		this.#world.note(`FAULT ${kind}: ${detail}`);
+		this.#simulator.countFault(kind);
+		this.#simulator.log(`FAULT ${kind}: ${detail}`);
 	}
 
 	#heal(): void {
 		this.#isHealed = true;
-		this.#world.note('everything heals');
+		this.#simulator.log('everything heals');
 		this.#calmNetwork();
-		this.#world.healCuts();
-		for (const process of this.#world.processes.values()) {
-			this.#world.resume(process);
+		this.#simulator.unblockLinks();
+		for (const process of this.#simulator.processes.values()) {
+			this.#simulator.resume(process);
 		}
 
 		for (const {restart} of this.#listKillable()) {
@@ -631,31 +631,31 @@
 
 	/** After healing everything must come to an end. */
 	#checkLiveness(): void {
-		const {reference} = this.#checks;
-		const leaders = [...this.#controls.values()].filter(control => control.hasAuthority);
+		const {referenceState} = this.#checker;
+		const leaders = [...this.#controls.values()].filter(control => control.holdsLeaderLease);
 		if (leaders.length !== 1) {
-			this.#checks.fail(`${leaders.length} leaders with authority after healing`);
+			this.#checker.reportViolation(`${leaders.length} leaders with authority after healing`);
 			return;
 		}
 
-		const open = reference.ledger.listOpen();
+		const open = referenceState.ledger.listOpen();
 		if (open.length > 0) {
-			this.#checks.fail(`claims stay open after healing: ${open.map(({key, attempt}) => `${key} ${attempt}`).join(', ')}`);
+			this.#checker.reportViolation(`claims stay open after healing: ${open.map(({key, attempt}) => `${key} ${attempt}`).join(', ')}`);
 		}
 
-		const changes = reference.listOpenChanges();
+		const changes = referenceState.listOpenChanges();
 		if (changes.length > 0) {
-			this.#checks.fail(`changes stay open after healing: ${changes.map(({name, status}) => `${name} ${status?.phase}`).join(', ')}`);
+			this.#checker.reportViolation(`changes stay open after healing: ${changes.map(({name, status}) => `${name} ${status?.phase}`).join(', ')}`);
 		}
 
 		for (const entry of this.#entries) {
-			if (entry.view.version !== reference.viewVersion) {
-				this.#checks.fail(`${entry.host} has configuration ${entry.view.version} after healing, not ${reference.viewVersion}`);
+			if (entry.view.version !== referenceState.viewVersion) {
+				this.#checker.reportViolation(`${entry.host} has configuration ${entry.view.version} after healing, not ${referenceState.viewVersion}`);
 			}
 		}
 
 		if (this.#unanswered.size > 0) {
-			this.#checks.fail(`callers have no answer after healing: ${[...this.#unanswered].join(' ')}`);
+			this.#checker.reportViolation(`callers have no answer after healing: ${[...this.#unanswered].join(' ')}`);
 		}
 	}
 }
--- a/dev/fuzz/world.ts
+++ b/dev/fuzz/simulator.ts
@@ -6,12 +6,12 @@
 import type {Random} from '../../src/base/random.js';
 
 /** A process as the world sees it. */
-export type Process = {
+export type SimulatedProcess = {
 	readonly name: string;
 	isAlive: boolean;
 	isPaused: boolean;
 	/** Rises with each kill, so that what was meant for an earlier start is dropped. */
-	start: number;
+	generation: number;
 	/** What arrived while it was paused. */
 	readonly backlog: Array<{readonly isTimer: boolean; readonly run: () => void}>;
 };
@@ -24,22 +24,22 @@
 
 export type FaultCounts = Record<string, number>;
 
-export type Weather = {
-	dropShare: number;
-	duplicateShare: number;
+export type NetworkConditions = {
+	dropProbability: number;
+	duplicateProbability: number;
 	/** Longest delay of a message, milliseconds. */
-	delayMs: number;
+	maxDelayMs: number;
 };
 
 const MIN_DELAY_MS = 0.3;
 const MAX_TRACE_LINES = 4000;
 
 /** The world of one run; everything that happens in it is decided by its random source. */
-export class World {
+export class Simulator {
 	readonly random: Random;
-	readonly processes = new Map<string, Process>();
+	readonly processes = new Map<string, SimulatedProcess>();
 	readonly faults: FaultCounts = {};
-	readonly weather: Weather = {dropShare: 0, duplicateShare: 0, delayMs: 3};
+	readonly network: NetworkConditions = {dropProbability: 0, duplicateProbability: 0, maxDelayMs: 3};
 	readonly trace: string[] = [];
 	nowMs = 0;
 	steps = 0;
@@ -51,15 +51,15 @@
 		this.random = random;
 	}
 
-	addProcess(name: string): Process {
-		const process: Process = {
-			name, isAlive: true, isPaused: false, start: 1, backlog: [],
+	addProcess(name: string): SimulatedProcess {
+		const process: SimulatedProcess = {
+			name, isAlive: true, isPaused: false, generation: 1, backlog: [],
 		};
 		this.processes.set(name, process);
 		return process;
 	}
 
-	note(text: string): void {
+	log(text: string): void {
 		this.trace.push(`${this.nowMs.toFixed(1).padStart(9)} ${text}`);
 		if (this.trace.length > MAX_TRACE_LINES) {
 			this.trace.splice(0, MAX_TRACE_LINES / 2);
@@ -76,10 +76,10 @@
 	}
 
 	/** Runs something later in a process; nothing happens if that start of it is gone by then. */
-	scheduleIn(process: Process, delayMs: number, run: () => void): void {
-		const {start} = process;
+	scheduleOn(process: SimulatedProcess, delayMs: number, run: () => void): void {
+		const {generation} = process;
 		this.schedule(delayMs, () => {
-			this.#deliver(process, start, run, true);
+			this.#deliver(process, generation, run, true);
 		});
 	}
 
@@ -89,52 +89,52 @@
 	 * @param options - `once`: a request on a connection of its own, which may be lost but does not arrive twice;
 	 * `withinMs`: it does not arrive later, since the connection is destroyed by then.
 	 */
-	send(from: Process, to: Process, run: () => void, options: {readonly once?: boolean; readonly withinMs?: number} = {}): void {
-		if (this.isCut(from.name, to.name) || this.random() < this.weather.dropShare) {
+	send(from: SimulatedProcess, to: SimulatedProcess, run: () => void, options: {readonly once?: boolean; readonly withinMs?: number} = {}): void {
+		if (this.isLinkBlocked(from.name, to.name) || this.random() < this.network.dropProbability) {
 			this.countFault('drop');
 			return;
 		}
 
-		const copies = this.random() < this.weather.duplicateShare && !options.once ? 2 : 1;
+		const copies = this.random() < this.network.duplicateProbability && !options.once ? 2 : 1;
 		if (copies > 1) {
 			this.countFault('duplicate');
 		}
 
-		const {start} = to;
+		const {generation} = to;
 		for (let copy = 0; copy < copies; copy++) {
-			const delayMs = MIN_DELAY_MS + (this.random() * this.weather.delayMs);
+			const delayMs = MIN_DELAY_MS + (this.random() * this.network.maxDelayMs);
 			if (delayMs > (options.withinMs ?? Number.POSITIVE_INFINITY)) {
 				this.countFault('drop');
 				continue;
 			}
 
 			this.schedule(delayMs, () => {
-				if (!this.isCut(from.name, to.name)) {
-					this.#deliver(to, start, run);
+				if (!this.isLinkBlocked(from.name, to.name)) {
+					this.#deliver(to, generation, run);
 				}
 			});
 		}
 	}
 
 	/** Cuts one direction between two processes. */
-	cut(from: string, to: string): void {
+	blockLink(from: string, to: string): void {
 		this.#cuts.add(`${from}>${to}`);
 	}
 
-	healCuts(): void {
+	unblockLinks(): void {
 		this.#cuts.clear();
 	}
 
-	isCut(from: string, to: string): boolean {
+	isLinkBlocked(from: string, to: string): boolean {
 		return this.#cuts.has(`${from}>${to}`);
 	}
 
-	pause(process: Process): void {
+	pause(process: SimulatedProcess): void {
 		process.isPaused = true;
 	}
 
 	/** Lets a paused process go on: what waited for it comes at once, timers first or messages first. */
-	resume(process: Process): void {
+	resume(process: SimulatedProcess): void {
 		process.isPaused = false;
 		const backlog = process.backlog.splice(0);
 		const isTimersFirst = this.random() < 0.5;
@@ -145,10 +145,10 @@
 		}
 	}
 
-	kill(process: Process): void {
+	kill(process: SimulatedProcess): void {
 		process.isAlive = false;
 		process.isPaused = false;
-		process.start++;
+		process.generation++;
 		process.backlog.length = 0;
 	}
 
@@ -169,8 +169,8 @@
 		}
 	}
 
-	#deliver(process: Process, start: number, run: () => void, isTimer = false): void {
-		if (!process.isAlive || process.start !== start) {
+	#deliver(process: SimulatedProcess, generation: number, run: () => void, isTimer = false): void {
+		if (!process.isAlive || process.generation !== generation) {
 			return;
 		}
 
@@ -178,7 +178,7 @@
 			process.backlog.push({
 				isTimer,
 				run: () => {
-					this.#deliver(process, start, run, isTimer);
+					this.#deliver(process, generation, run, isTimer);
 				},
 			});
 			return;
--- a/test/handoff.test.ts
+++ b/test/handoff.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
-import {streamCompletion} from '../dev/calls.js';
+import {streamCompletion} from '../dev/client.js';
 import {waitUntil} from '../dev/fleet.js';
 import {FakeEngine} from '../fakes/engine.js';
 import {startFixture, type Fixture} from './fixture.js';
@@ -25,14 +25,14 @@
 test('a long prompt is computed at the prefill engine, and the decode engine goes on with its KV cache', async () => {
 	const content = 'a long track about barley. '.repeat(400);
 	const answer = await streamCompletion(fixture.url, {model: 'summary-1', content});
-	assert.ok(answer.isWhole);
+	assert.ok(answer.isComplete);
 	assert.equal(await importsOf(decode), 1);
 	assert.equal(await importsOf(prefill), 0);
 });
 
 test('a short prompt goes straight to the decode engine', async () => {
 	const answer = await streamCompletion(fixture.url, {model: 'chat-1', content: 'compare'});
-	assert.ok(answer.isWhole);
+	assert.ok(answer.isComplete);
 	assert.equal(await importsOf(decode), 1);
 });
 
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {streamCompletion} from '../dev/calls.js';
+import {streamCompletion} from '../dev/client.js';
 import {FakeEngine, POISON_WORD} from '../fakes/engine.js';
 import {startFixture} from './fixture.js';
 
@@ -57,5 +57,5 @@
 			}
 		},
 	});
-	assert.ok(answer.isWhole, `code ${answer.code}, ${answer.tokens} tokens`);
+	assert.ok(answer.isComplete, `code ${answer.code}, ${answer.tokens} tokens`);
 });
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -20,7 +20,7 @@
 import {ControlHost} from '../src/daemon/controlhost.js';
 import {EntryHost} from '../src/daemon/entryhost.js';
 import {createServingMetrics} from '../src/serving/metrics.js';
-import {Standin, type StandinOptions} from './standin.js';
+import {StubBackend, type StubBackendOptions} from './stub.js';
 
 const ROOT = path.resolve(import.meta.dirname, '../..');
 const ROUTES = [
@@ -48,7 +48,7 @@
 	const site = await startSite(t, [{id: 'p1', service: 'plain'}]);
 	const answer = await site.call('/read/1?x=%20y', {'carawayhoist-kv-hold': 'mine', 'x-other': 'kept', 'carawayhoist-deadline-ms': '500'});
 	assert.deepEqual({status: answer.status, text: answer.text}, {status: 200, text: `plain ${answer.id}`});
-	const {path: target, headers} = site.servers[0]!.arrivals[0]!;
+	const {path: target, headers} = site.servers[0]!.receivedRequests[0]!;
 	assert.equal(target, '/read/1?x=%20y');
 	assert.equal(headers['carawayhoist-kv-hold'], undefined);
 	assert.equal(headers['x-other'], 'kept');
@@ -62,14 +62,14 @@
 	assert.equal(answer.status, 200);
 	assert.equal(answer.text.match(/^id: /gmv)?.length, 4);
 	const [reader, runner] = site.servers;
-	assert.equal(reader!.arrivals[0]?.headers['carawayhoist-serving-stage'], 'prefill');
-	assert.equal(runner!.arrivals[0]?.headers['carawayhoist-kv-source'], `${reader!.address}/h1`);
-	assert.equal(runner!.arrivals[0]?.body, 'prompt');
+	assert.equal(reader!.receivedRequests[0]?.headers['carawayhoist-serving-stage'], 'prefill');
+	assert.equal(runner!.receivedRequests[0]?.headers['carawayhoist-kv-source'], `${reader!.address}/h1`);
+	assert.equal(runner!.receivedRequests[0]?.body, 'prompt');
 });
 
 test('a resumable stream that breaks inside an event goes on elsewhere, without a gap or a repeat', async t => {
 	let broken = 0;
-	const breakOnce: StandinOptions['intercept'] = (request, response) => {
+	const breakOnce: StubBackendOptions['intercept'] = (request, response) => {
 		if (broken > 0 || request.headers['last-event-id'] !== undefined) {
 			return false;
 		}
@@ -100,7 +100,7 @@
 	})));
 	const answer = await site.call('/book/1', {}, 'seat');
 	assert.equal(answer.status, 502);
-	assert.equal(site.servers.reduce((sum, server) => sum + server.arrivals.length, 0), 1);
+	assert.equal(site.servers.reduce((sum, server) => sum + server.receivedRequests.length, 0), 1);
 });
 
 test('a refusal of the server is passed on as a promise that nothing ran', async t => {
@@ -144,7 +144,7 @@
 test('a read goes to another server after a failure of the first', async t => {
 	const site = await startSite(t, ['p1', 'p2'].map(id => ({
 		id, service: 'plain', intercept(_request, response) {
-			const isFirst = site.servers.reduce((sum, server) => sum + server.arrivals.length, 0) === 1;
+			const isFirst = site.servers.reduce((sum, server) => sum + server.receivedRequests.length, 0) === 1;
 			if (isFirst) {
 				response.socket?.resetAndDestroy();
 			}
@@ -183,12 +183,12 @@
 	const site = await startSite(t, [{id: 'p1', service: 'plain'}, {id: 'p2', service: 'plain'}]);
 	assert.equal(await site.servers[0]!.announce(site.control, 'draining'), 200);
 	await waitUntil(async () => !site.entry.listServers().includes('p1'), 'p1 is out of use');
-	site.servers[0]!.arrivals.length = 0;
+	site.servers[0]!.receivedRequests.length = 0;
 	for (let index = 0; index < 20; index++) {
 		assert.equal((await site.call('/read/1')).status, 200);
 	}
 
-	assert.equal(site.servers[0]!.arrivals.length, 0);
+	assert.equal(site.servers[0]!.receivedRequests.length, 0);
 });
 
 test('configurations: the highest version holds, a repeat is acknowledged, another body under a version never shows', async t => {
@@ -224,7 +224,7 @@
 
 test('a stream that may be resumed goes to another engine when the first one fails it', async t => {
 	let failures = 0;
-	const failOnce: StandinOptions['intercept'] = (request, response) => {
+	const failOnce: StubBackendOptions['intercept'] = (request, response) => {
 		if (request.headers['carawayhoist-serving-stage'] !== undefined || failures > 0) {
 			return false;
 		}
@@ -276,7 +276,7 @@
 };
 
 /** Starts one control host, one entry host and the servers, and waits until all are known. */
-async function startSite(t: TestContext, options: readonly StandinOptions[]) {
+async function startSite(t: TestContext, options: readonly StubBackendOptions[]) {
 	const folder = await mkdtemp(path.join(os.tmpdir(), 'site-'));
 	const clock = createClock();
 	const loggers = createSilentLoggers();
@@ -306,7 +306,7 @@
 	const entry = unwrap(await EntryHost.start({
 		host: 'h1', dataCentre: 'a', callers, seeds: [peer], clock, random: createRandom(2), loggers, dialect, metrics, budget: {ratio: 0.2, allowance: 100, windowMs: 10_000}, graceMs: 1000,
 	}));
-	const servers = options.map(option => new Standin(option));
+	const servers = options.map(option => new StubBackend(option));
 	t.after(async () => {
 		entry.close();
 		closeServer(api);
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -5,10 +5,10 @@
 import {after, before, test} from 'node:test';
 import {promisify} from 'node:util';
 import {
-	book, countKey, findLeader, readEngine, readMembers, streamCompletion,
-} from '../dev/calls.js';
+	bookSeat, countRuns, findLeader, readEngineCounters, fetchMembers, streamCompletion,
+} from '../dev/client.js';
 import {
-	endProcess, isRunning, ProcessFleet, waitUntil, type ProcessRecord,
+	killProcess, isRunning, ProcessFleet, waitUntil, type FleetProcess,
 } from '../dev/fleet.js';
 import {POISON_WORD} from '../fakes/engine.js';
 
@@ -20,7 +20,7 @@
 
 before(async () => {
 	fleet = await ProcessFleet.start({
-		controls: 3, entries: 2, engines: 4, plains: 2, plainArguments: ['--work', '400'],
+		controlHosts: 3, entryHosts: 2, engines: 4, plainServers: 2, plainServerArguments: ['--work', '400'],
 	});
 	await tool(fleet.hosts[0]!, 'apply', '-f', RESOURCES);
 	await waitUntil(async () => {
@@ -36,15 +36,15 @@
 test('the control leader is killed in the middle of a booking: it runs once and is answered', async () => {
 	const leader = await someLeader();
 	const entry = otherEntry(leader);
-	const booking = book(entry.url, 'leader-killed');
-	await waitUntil(async () => await countKey(fleet, 'leader-killed') === 1, 'the booking runs');
-	await endProcess(leader);
+	const booking = bookSeat(entry.url, 'leader-killed');
+	await waitUntil(async () => await countRuns(fleet, 'leader-killed') === 1, 'the booking runs');
+	await killProcess(leader);
 	const answer = await booking;
 	assert.equal(answer.status, 200);
-	const again = await book(otherEntry(leader, entry).url, 'leader-killed');
+	const again = await bookSeat(otherEntry(leader, entry).url, 'leader-killed');
 	assert.deepEqual(again, answer);
-	assert.equal(await countKey(fleet, 'leader-killed'), 1);
-	await fleet.restart(leader, {wipe: false});
+	assert.equal(await countRuns(fleet, 'leader-killed'), 1);
+	await fleet.restartHost(leader, {wipe: false});
 	await allReady();
 });
 
@@ -58,50 +58,50 @@
 	const version = await viewVersion(entry);
 	await waitUntil(async () => await viewVersion(leader) >= version, 'the old leader has the configuration');
 	assert.notEqual(await findLeader(fleet, leader), leader);
-	assert.equal((await book(leader.url, 'after-pause')).status, 200);
-	assert.equal(await countKey(fleet, 'after-pause'), 1);
+	assert.equal((await bookSeat(leader.url, 'after-pause')).status, 200);
+	assert.equal(await countRuns(fleet, 'after-pause'), 1);
 });
 
 test('an entry host is killed in the middle of a booking: it never runs twice', async () => {
 	const entry = fleet.hosts[3]!;
 	const other = fleet.hosts[4]!;
-	const booking = book(entry.url, 'entry-killed');
-	await waitUntil(async () => await countKey(fleet, 'entry-killed') === 1, 'the booking runs');
-	await endProcess(entry);
+	const booking = bookSeat(entry.url, 'entry-killed');
+	await waitUntil(async () => await countRuns(fleet, 'entry-killed') === 1, 'the booking runs');
+	await killProcess(entry);
 	assert.equal((await booking).status, 0);
-	const again = await book(other.url, 'entry-killed');
+	const again = await bookSeat(other.url, 'entry-killed');
 	assert.equal(again.status, 409);
 	assert.equal(again.code, 4001);
 	assert.equal(again.outcome, 'unknown');
-	assert.equal(await countKey(fleet, 'entry-killed'), 1);
-	await fleet.restart(entry, {wipe: false});
+	assert.equal(await countRuns(fleet, 'entry-killed'), 1);
+	await fleet.restartHost(entry, {wipe: false});
 	await allReady();
 });
 
 test('an entry host is paused in the middle of a booking: when it goes on the answer is known', async () => {
 	const entry = fleet.hosts[3]!;
-	const booking = book(entry.url, 'entry-paused');
-	await waitUntil(async () => await countKey(fleet, 'entry-paused') === 1, 'the booking runs');
+	const booking = bookSeat(entry.url, 'entry-paused');
+	await waitUntil(async () => await countRuns(fleet, 'entry-paused') === 1, 'the booking runs');
 	entry.child.kill('SIGSTOP');
-	const meanwhile = await book(fleet.hosts[4]!.url, 'entry-paused');
+	const meanwhile = await bookSeat(fleet.hosts[4]!.url, 'entry-paused');
 	assert.equal(meanwhile.code, 4001);
 	entry.child.kill('SIGCONT');
 	const answer = await booking;
 	assert.equal(answer.status, 200);
-	await waitUntil(async () => (await book(fleet.hosts[4]!.url, 'entry-paused')).text === answer.text, 'the answer is known everywhere');
-	assert.equal(await countKey(fleet, 'entry-paused'), 1);
+	await waitUntil(async () => (await bookSeat(fleet.hosts[4]!.url, 'entry-paused')).text === answer.text, 'the answer is known everywhere');
+	assert.equal(await countRuns(fleet, 'entry-paused'), 1);
 });
 
 test('a key with another body is refused as not run', async () => {
-	assert.equal((await book(fleet.hosts[0]!.url, 'reused', 'A1')).status, 200);
-	const other = await book(fleet.hosts[4]!.url, 'reused', 'B2');
+	assert.equal((await bookSeat(fleet.hosts[0]!.url, 'reused', 'A1')).status, 200);
+	const other = await bookSeat(fleet.hosts[4]!.url, 'reused', 'B2');
 	assert.deepEqual([other.status, other.code, other.outcome], [422, 4002, 'not-run']);
-	assert.equal(await countKey(fleet, 'reused'), 1);
+	assert.equal(await countRuns(fleet, 'reused'), 1);
 });
 
 test('many callers race with one key through all hosts: it runs once, and all get the same answer', async () => {
-	const answers = await Promise.all(Array.from({length: 15}, async (_, index) => book(fleet.hosts[index % 5]!.url, 'raced')));
-	assert.equal(await countKey(fleet, 'raced'), 1);
+	const answers = await Promise.all(Array.from({length: 15}, async (_, index) => bookSeat(fleet.hosts[index % 5]!.url, 'raced')));
+	assert.equal(await countRuns(fleet, 'raced'), 1);
 	assert.deepEqual(new Set(answers.map(({status, text}) => `${status} ${text}`)).size, 1);
 	assert.equal(answers[0]!.status, 200);
 });
@@ -113,23 +113,23 @@
 	}
 
 	const entry = fleet.hosts[4]!;
-	const refused = await book(entry.url, 'no-majority');
+	const refused = await bookSeat(entry.url, 'no-majority');
 	const summary = await streamCompletion(entry.url, {model: 'summary-1', content: 'without a majority'});
 	for (const {child} of paused) {
 		child.kill('SIGCONT');
 	}
 
 	assert.deepEqual([refused.status, refused.code, refused.outcome], [503, 4003, 'not-run']);
-	assert.ok(summary.isWhole);
-	assert.equal(await countKey(fleet, 'no-majority'), 0);
-	await waitUntil(async () => (await book(entry.url, 'no-majority')).status === 200, 'bookings again');
-	assert.equal(await countKey(fleet, 'no-majority'), 1);
+	assert.ok(summary.isComplete);
+	assert.equal(await countRuns(fleet, 'no-majority'), 0);
+	await waitUntil(async () => (await bookSeat(entry.url, 'no-majority')).status === 200, 'bookings again');
+	assert.equal(await countRuns(fleet, 'no-majority'), 1);
 });
 
 test('an engine is killed in the middle of streams: every caller gets a whole answer', async () => {
 	const streams = startStreams(12, 'engine killed');
 	const engine = await busyEngine();
-	await endProcess(engine);
+	await killProcess(engine);
 	await assertWhole(streams);
 	await restartBackend(engine);
 });
@@ -146,9 +146,9 @@
 	const streams = startStreams(12, 'drain under load');
 	const engine = await busyEngine();
 	await tool(fleet.hosts[0]!, 'drain', engine.name, '--wait', '--name', 'drain-under-load');
-	const before = countRequests(await readEngine(engine));
+	const before = countRequests(await readEngineCounters(engine));
 	await assertWhole(startStreams(12, 'after the drain'));
-	assert.equal(countRequests(await readEngine(engine)), before);
+	assert.equal(countRequests(await readEngineCounters(engine)), before);
 	await assertWhole(streams);
 	await tool(fleet.hosts[0]!, 'delete', 'change', 'drain-under-load');
 });
@@ -160,15 +160,15 @@
 	const engine = await busyEngine();
 	const change = tool(entry, 'role', engine.name, 'decode', '--wait', '--name', 'role-killed');
 	await waitUntil(async () => (await readChange(entry, 'role-killed')) !== undefined, 'declared');
-	await endProcess(leader);
+	await killProcess(leader);
 	await change;
 	await assertWhole(streams);
-	const {orders, cutByOrder, role} = await readEngine(engine);
+	const {orders, cutByOrder, role} = await readEngineCounters(engine);
 	assert.equal(new Set(orders.map(({order}) => order)).size, orders.length);
 	assert.equal(orders.filter(({type}) => type === 'role').length, 1);
 	assert.equal(cutByOrder, 0);
 	assert.equal(role, 'decode');
-	await fleet.restart(leader, {wipe: false});
+	await fleet.restartHost(leader, {wipe: false});
 	await allReady();
 });
 
@@ -176,11 +176,11 @@
 	const engine = engines()[0]!;
 	const entry = fleet.hosts[4]!;
 	const change = tool(entry, 'role', engine.name, 'prefill', '--wait', '--name', 'engine-lost');
-	await waitUntil(async () => (await readEngine(engine)).orders.length > 0, 'the order arrives');
-	await endProcess(engine);
+	await waitUntil(async () => (await readEngineCounters(engine)).orders.length > 0, 'the order arrives');
+	await killProcess(engine);
 	await restartBackend(engine);
 	await change;
-	const {orders, role} = await readEngine(fleet.backends.find(({name}) => name === engine.name)!);
+	const {orders, role} = await readEngineCounters(fleet.backends.find(({name}) => name === engine.name)!);
 	assert.equal(orders.length, 1);
 	assert.equal(role, 'prefill');
 });
@@ -193,7 +193,7 @@
 	await assertWhole(streams);
 	await waitUntil(async () => !isRunning(entry), 'exit');
 	assert.equal(entry.child.exitCode, 0);
-	await fleet.restart(entry, {wipe: false});
+	await fleet.restartHost(entry, {wipe: false});
 	await allReady();
 });
 
@@ -201,21 +201,21 @@
 	const entry = fleet.hosts[4]!;
 	const leader = await someLeader();
 	const lost = fleet.hosts.slice(0, 3).find(host => host !== leader)!;
-	const old = (await readMembers(entry)).configuration.voters.find(({host}) => host === lost.name)!;
-	await endProcess(lost);
-	assert.equal((await book(entry.url, 'before-repair')).status, 200);
-	await fleet.restart(lost, {wipe: true});
+	const old = (await fetchMembers(entry)).configuration.voters.find(({host}) => host === lost.name)!;
+	await killProcess(lost);
+	assert.equal((await bookSeat(entry.url, 'before-repair')).status, 200);
+	await fleet.restartHost(lost, {wipe: true});
 	await tool(entry, 'control', 'replace', old.replica, old.host, old.address, String(old.port));
 	await waitUntil(async () => {
-		const {repair, configuration} = await readMembers(entry);
+		const {repair, configuration} = await fetchMembers(entry);
 		return repair === undefined && configuration.voters.length === 3 && !configuration.voters.some(({replica}) => replica === old.replica);
 	}, 'the repair is finished');
 	const second = fleet.hosts.slice(0, 3).find(host => host.name !== lost.name)!;
-	await endProcess(second);
-	await waitUntil(async () => (await book(entry.url, 'after-second-loss')).status === 200, 'bookings after the second loss');
-	assert.deepEqual(await book(entry.url, 'before-repair'), await book(fleet.hosts[3]!.url, 'before-repair'));
-	assert.equal(await countKey(fleet, 'before-repair'), 1);
-	await fleet.restart(second, {wipe: false});
+	await killProcess(second);
+	await waitUntil(async () => (await bookSeat(entry.url, 'after-second-loss')).status === 200, 'bookings after the second loss');
+	assert.deepEqual(await bookSeat(entry.url, 'before-repair'), await bookSeat(fleet.hosts[3]!.url, 'before-repair'));
+	assert.equal(await countRuns(fleet, 'before-repair'), 1);
+	await fleet.restartHost(second, {wipe: false});
 	await allReady();
 });
 
@@ -235,27 +235,27 @@
 	await assertWhole(startStreams(8, 'after the poison'));
 });
 
-function engines(): ProcessRecord[] {
+function engines(): FleetProcess[] {
 	return fleet.backends.filter(({role}) => role === 'engine');
 }
 
-function startStreams(count: number, title: string, entries: readonly ProcessRecord[] = fleet.hosts): Array<ReturnType<typeof streamCompletion>> {
+function startStreams(count: number, title: string, entries: readonly FleetProcess[] = fleet.hosts): Array<ReturnType<typeof streamCompletion>> {
 	const usable = entries.filter(entry => isRunning(entry));
 	return Array.from({length: count}, async (_, index) => streamCompletion(usable[index % usable.length]!.url, {model: 'chat-1', content: `${title} ${index}`}));
 }
 
 async function assertWhole(streams: ReadonlyArray<ReturnType<typeof streamCompletion>>): Promise<void> {
 	const results = await Promise.all(streams);
-	const cut = results.filter(({isWhole}) => !isWhole);
+	const cut = results.filter(({isComplete}) => !isComplete);
 	assert.deepEqual(cut.map(({status, code, tokens}) => ({status, code, tokens})), []);
 }
 
 /** Waits until streams run and returns the engine with the most. */
-async function busyEngine(): Promise<ProcessRecord> {
-	let best: ProcessRecord | undefined;
+async function busyEngine(): Promise<FleetProcess> {
+	let best: FleetProcess | undefined;
 	await waitUntil(async () => {
 		const alive = engines().filter(engine => isRunning(engine));
-		const counts = await Promise.all(alive.map(async engine => (await readEngine(engine)).running));
+		const counts = await Promise.all(alive.map(async engine => (await readEngineCounters(engine)).running));
 		const most = Math.max(...counts);
 		best = alive[counts.indexOf(most)];
 		return most > 0;
@@ -263,7 +263,7 @@
 	return best!;
 }
 
-async function restartBackend(record: ProcessRecord): Promise<void> {
+async function restartBackend(record: FleetProcess): Promise<void> {
 	const fresh = fleet.startBackend({
 		kind: record.role, name: record.name, port: Number(new URL(record.url).port), entries: fleet.hosts.map(({url}) => url), extra: [],
 	});
@@ -271,8 +271,8 @@
 	await waitUntil(async () => (await fetch(`${record.url}/runs`)).status === 200, `${record.name} is back`);
 }
 
-async function someLeader(): Promise<ProcessRecord> {
-	let leader: ProcessRecord | undefined;
+async function someLeader(): Promise<FleetProcess> {
+	let leader: FleetProcess | undefined;
 	await waitUntil(async () => {
 		leader = await findLeader(fleet, fleet.hosts[4]!);
 		return leader !== undefined && isRunning(leader);
@@ -280,7 +280,7 @@
 	return leader!;
 }
 
-function otherEntry(...not: readonly ProcessRecord[]): ProcessRecord {
+function otherEntry(...not: readonly FleetProcess[]): FleetProcess {
 	return fleet.hosts.find(host => !not.includes(host) && isRunning(host))!;
 }
 
@@ -295,16 +295,16 @@
 	}, 'all hosts know the backend servers');
 }
 
-async function viewVersion(entry: ProcessRecord): Promise<number> {
+async function viewVersion(entry: FleetProcess): Promise<number> {
 	return (await (await fetch(`${entry.url}/api/v1/status`)).json() as {version: number}).version;
 }
 
-async function readChange(entry: ProcessRecord, name: string): Promise<unknown> {
+async function readChange(entry: FleetProcess, name: string): Promise<unknown> {
 	const response = await fetch(`${entry.url}/api/v1/resources/change/${name}`);
 	return response.status === 200 ? response.json() : undefined;
 }
 
-async function tool(entry: ProcessRecord, ...commandLine: string[]): Promise<string> {
+async function tool(entry: FleetProcess, ...commandLine: string[]): Promise<string> {
 	const {stdout} = await execute(process.execPath, [TOOL, '--host', entry.url, ...commandLine]);
 	return stdout;
 }
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -2,7 +2,7 @@
 import http from 'node:http';
 import net, {type AddressInfo} from 'node:net';
 import {after, before, test} from 'node:test';
-import {streamCompletion} from '../dev/calls.js';
+import {streamCompletion} from '../dev/client.js';
 import {findPort} from '../dev/fleet.js';
 import {FakeEngine} from '../fakes/engine.js';
 import {answerToken} from '../fakes/answer.js';
@@ -88,7 +88,7 @@
 			}
 		},
 	});
-	assert.ok(answer.isWhole);
+	assert.ok(answer.isComplete);
 	const {requests} = await (await fetch(`${engine.url}/runs`)).json() as {requests: Record<string, number>};
 	assert.equal(requests['user: silent'], 2);
 });
@@ -112,7 +112,7 @@
 		}));
 		for (let send = 0; send < 6; send++) {
 			const answer = await streamCompletion(fixture.url, {model, content: `whole ${send}`});
-			assert.ok(answer.isWhole, `fault ${index}: ${answer.text.slice(0, 80)}`);
+			assert.ok(answer.isComplete, `fault ${index}: ${answer.text.slice(0, 80)}`);
 		}
 	}
 });
--- a/test/standin.ts
+++ b/test/stub.ts
@@ -7,7 +7,7 @@
 import http, {type IncomingMessage, type ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
-export type StandinOptions = {
+export type StubBackendOptions = {
 	readonly id: string;
 	readonly service: string;
 	readonly stage?: 'prefill' | 'decode';
@@ -16,7 +16,7 @@
 };
 
 /** A request that reached the server. */
-export type Arrival = {
+export type ReceivedRequest = {
 	readonly method: string;
 	readonly path: string;
 	readonly headers: http.IncomingHttpHeaders;
@@ -26,17 +26,17 @@
 const EVENTS = 4;
 
 /** A running stand-in. Whoever started it stops it. */
-export class Standin {
-	readonly arrivals: Arrival[] = [];
+export class StubBackend {
+	readonly receivedRequests: ReceivedRequest[] = [];
 	readonly orders: unknown[] = [];
 	stage: string | undefined;
-	readonly #options: StandinOptions;
+	readonly #options: StubBackendOptions;
 	readonly #server: http.Server;
 	readonly #handles = new Set<string>();
 	#sequence = 0;
 	readonly #born = Date.now();
 
-	constructor(options: StandinOptions) {
+	constructor(options: StubBackendOptions) {
 		this.#options = options;
 		this.stage = options.stage;
 		this.#server = http.createServer((request, response) => {
@@ -53,7 +53,7 @@
 	}
 
 	/** Read prompts that were not taken or freed. */
-	get handleCount(): number {
+	get openHandleCount(): number {
 		return this.#handles.size;
 	}
 
@@ -102,7 +102,7 @@
 			return;
 		}
 
-		this.arrivals.push({
+		this.receivedRequests.push({
 			method, path: url, headers: request.headers, body: body.toString(),
 		});
 		if (this.#options.intercept?.(request, response, body) !== true) {
@@ -119,7 +119,7 @@
 		}
 
 		if (request.headers['carawayhoist-serving-stage'] === 'prefill') {
-			const handle = `h${this.arrivals.length}`;
+			const handle = `h${this.receivedRequests.length}`;
 			this.#handles.add(handle);
 			response.writeHead(200, {...headers, 'content-type': 'application/json'}).end(JSON.stringify({handle, tokens: 1, version: 1}));
 			return;
