--- a/dev/fuzz/run.ts
+++ b/dev/fuzz/run.ts
@@ -104,7 +104,7 @@
 			onCommit: (control: ControlProcess) => {
 				this.#killAtCommit(control);
 			},
-			onUnsent: (control: ControlProcess, server: string, order: number) => {
+			onOrderAbsent: (control: ControlProcess, server: string, order: number) => {
 				this.#pauseBeforeOrder(control, server, order);
 			},
 		};
