--- a/dev/fuzz/run.ts
+++ b/dev/fuzz/run.ts
@@ -607,7 +607,7 @@
 	}
 
 	#calmNetwork(): void {
-		Object.assign(this.#simulator.network, {dropShare: 0, duplicateShare: 0, delayMs: 3});
+		Object.assign(this.#simulator.network, {dropProbability: 0, duplicateProbability: 0, maxDelayMs: 3});
 	}
 
 	#fault(kind: string, detail: string): void {
