--- a/dev/client.ts
+++ b/dev/client.ts
@@ -1,5 +1,6 @@
 /**
- * What callers and operators do to a fleet, for the demo, the benches and the tests with processes.
+ * HTTP client for the requests of callers and operators, used by the demo, the benchmarks and the tests that start
+ * processes.
  *
  * @module
  */
@@ -7,7 +8,7 @@
 import type {ProcessFleet, FleetProcess} from './fleet.js';
 
 export type StreamResult = {
-	/** Whether it is the known answer to its own prompt, whole. */
+	/** Whether the complete text arrived and equals the deterministic completion of the prompt. */
 	readonly isComplete: boolean;
 	readonly status: number;
 	readonly code: number;
@@ -24,7 +25,7 @@
 	readonly onToken?: (count: number) => void;
 };
 
-/** Streams a completion and compares it with the known answer. */
+/** Streams a completion and compares it with the deterministic completion that the fake engines generate. */
 export async function streamCompletion(url: string, request: StreamRequest): Promise<StreamResult> {
 	const {model, content, maxTokens} = request;
 	const startedMs = performance.now();
@@ -36,7 +37,7 @@
 		}),
 	});
 	let text = '';
-	let firstMs = 0;
+	let firstTokenMs = 0;
 	let tokens = 0;
 	let isDone = false;
 	for await (const line of readLines(response)) {
@@ -44,7 +45,7 @@
 		const token = data?.choices?.[0]?.delta.content ?? '';
 		isDone ||= line === 'data: [DONE]';
 		if (token !== '') {
-			firstMs ||= performance.now() - startedMs;
+			firstTokenMs ||= performance.now() - startedMs;
 			text += token;
 			tokens++;
 			request.onToken?.(tokens);
@@ -58,7 +59,7 @@
 		code: Number(response.headers.get('carawayhoist-code') ?? 0),
 		text,
 		tokens,
-		firstTokenMs: firstMs,
+		firstTokenMs,
 		requestId: response.headers.get('x-request-id') ?? '',
 	};
 }
@@ -70,7 +71,7 @@
 	readonly code: number;
 };
 
-/** Books a seat; a host that dies meanwhile gives status 0. */
+/** Books a seat; returns status 0 if the connection fails, for example because the host is killed. */
 export async function bookSeat(url: string, key: string, seat = 'A7'): Promise<BookingResult> {
 	try {
 		const response = await fetch(`${url}/booking/seats`, {
@@ -86,10 +87,10 @@
 	}
 }
 
-/** Counts at the plain servers how often a key ran. */
+/** Returns how often the plain servers have run the request with this idempotency key. */
 export async function countRuns(fleet: ProcessFleet, key: string): Promise<number> {
-	const plains = fleet.backends.filter(({role}) => role === 'plain');
-	const counts = await Promise.all(plains.map(async ({url}) => {
+	const plainServers = fleet.backends.filter(({role}) => role === 'plain');
+	const counts = await Promise.all(plainServers.map(async ({url}) => {
 		const {keys} = await (await fetch(`${url}/runs`)).json() as {keys: Record<string, number>};
 		return keys[key] ?? 0;
 	}));
@@ -104,7 +105,7 @@
 	readonly running: number;
 };
 
-/** Reads an engine's counters. */
+/** Fetches the counters of a fake engine. */
 export async function readEngineCounters(engine: FleetProcess): Promise<EngineCounters> {
 	return await (await fetch(`${engine.url}/runs`)).json() as EngineCounters;
 }
@@ -115,12 +116,12 @@
 	readonly configuration: {readonly voters: ReadonlyArray<{readonly replica: string; readonly host: string; readonly address: string; readonly port: number}>};
 };
 
-/** Asks an entry host for the control replicas. */
+/** Fetches the control replicas and their leader from an entry host. */
 export async function fetchMembers(entry: FleetProcess): Promise<MembersResponse> {
 	return await (await fetch(`${entry.url}/api/v1/members`)).json() as MembersResponse;
 }
 
-/** Finds the process that leads, as an entry host learns it. */
+/** Finds the process of the control leader that an entry host reports; undefined if it reports none. */
 export async function findLeader(fleet: ProcessFleet, entry: FleetProcess): Promise<FleetProcess | undefined> {
 	const {leader, configuration} = await fetchMembers(entry);
 	const host = configuration.voters.find(({replica}) => replica === leader)?.host;
@@ -129,10 +130,10 @@
 
 async function * readLines(response: Response): AsyncGenerator<string> {
 	const decoder = new TextDecoder();
-	let rest = '';
+	let incompleteLine = '';
 	for await (const chunk of response.body ?? []) {
-		const lines = (rest + decoder.decode(chunk as Uint8Array, {stream: true})).split('\n');
-		rest = lines.pop() ?? '';
+		const lines = (incompleteLine + decoder.decode(chunk as Uint8Array, {stream: true})).split('\n');
+		incompleteLine = lines.pop() ?? '';
 		yield * lines;
 	}
 }
--- a/dev/examples.ts
+++ b/dev/examples.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the ready-made settings under `examples/`.
+ * Writes the example settings files under `examples/`.
  *
  * @example
  * ```sh
@@ -25,8 +25,8 @@
 };
 
 const SITES: readonly Site[] = [
-	createFleetSite({folder: 'tallgrass', hosts: 14, network: '10.20'}),
-	createFleetSite({folder: 'hrafnsvik', hosts: 13, network: '10.40'}),
+	createDataCentreSite({folder: 'tallgrass', hosts: 14, network: '10.20'}),
+	createDataCentreSite({folder: 'hrafnsvik', hosts: 13, network: '10.40'}),
 	{
 		folder: 'one-machine',
 		hosts: 3,
@@ -42,7 +42,7 @@
 	await writeSite(site);
 }
 
-function createFleetSite({folder, hosts, network}: {folder: string; hosts: number; network: string}): Site {
+function createDataCentreSite({folder, hosts, network}: {folder: string; hosts: number; network: string}): Site {
 	return {
 		folder,
 		hosts,
--- a/dev/fleet.ts
+++ b/dev/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Starts a fleet of real processes on 127.0.0.1 for the demo, the benches and the tests with processes.
+ * Starts a fleet of real processes on 127.0.0.1 for the demo, the benchmarks and the tests that start processes.
  *
  * @module
  */
@@ -14,10 +14,11 @@
 
 const DIST = path.resolve(import.meta.dirname, '..');
 const DAEMON = path.join(DIST, 'src/daemon/carawayhoistd.js');
-const FAKE = path.join(DIST, 'fakes/main.js');
+const FAKE_BACKEND = path.join(DIST, 'fakes/main.js');
 const READY_TIMEOUT_MS = 20_000;
 const POLL_MS = 50;
 
+/** A running host (entry, or control and entry) or fake backend server. */
 export type FleetProcess = {
 	readonly name: string;
 	readonly role: string;
@@ -32,14 +33,14 @@
 	readonly entryHosts: number;
 	readonly engines: number;
 	readonly plainServers: number;
-	/** Port of the first entry host; 0 takes a free one. */
+	/** HTTP port of the first host; 0 selects a free one. */
 	readonly firstPort?: number;
 	readonly engineArguments?: readonly string[];
 	readonly plainServerArguments?: readonly string[];
 	readonly logLevel?: Settings['logLevel'];
 };
 
-/** A running fleet. Whoever started it stops it. */
+/** A running fleet. The caller that starts it must stop it. */
 export class ProcessFleet {
 	readonly hosts: FleetProcess[] = [];
 	readonly backends: FleetProcess[] = [];
@@ -50,29 +51,29 @@
 		this.folder = folder;
 	}
 
-	/** Starts every process and waits until the entry hosts are ready. */
-	static async start(plan: FleetOptions): Promise<ProcessFleet> {
+	/** Starts every process and waits until all hosts are ready and list all backend servers. */
+	static async start(options: FleetOptions): Promise<ProcessFleet> {
 		const fleet = new ProcessFleet(await mkdtemp(path.join(os.tmpdir(), 'carawayhoist-')));
-		const settings = await createSettings(fleet.folder, plan);
-		for (const one of settings) {
-			fleet.hosts.push(await fleet.startHost(one));
+		const settings = await createSettings(fleet.folder, options);
+		for (const hostSettings of settings) {
+			fleet.hosts.push(await fleet.startHost(hostSettings));
 		}
 
 		const entries = fleet.hosts.map(host => host.url);
-		for (let index = 1; index <= plan.engines; index++) {
+		for (let index = 1; index <= options.engines; index++) {
 			fleet.backends.push(fleet.startBackend({
-				kind: 'engine', name: `engine-${index}`, port: await findPort(), entries, extra: plan.engineArguments ?? [],
+				kind: 'engine', name: `engine-${index}`, port: await findPort(), entries, extra: options.engineArguments ?? [],
 			}));
 		}
 
-		for (let index = 1; index <= plan.plainServers; index++) {
+		for (let index = 1; index <= options.plainServers; index++) {
 			fleet.backends.push(fleet.startBackend({
-				kind: 'plain', name: `plain-${index}`, port: await findPort(), entries, extra: plan.plainServerArguments ?? [],
+				kind: 'plain', name: `plain-${index}`, port: await findPort(), entries, extra: options.plainServerArguments ?? [],
 			}));
 		}
 
 		await Promise.all(fleet.hosts.map(async host => waitUntil(async () => (await fetch(`${host.url}/readyz`)).status === 200, `${host.name} ready`)));
-		await Promise.all(fleet.hosts.map(async host => waitUntil(async () => fleet.#knowsBackends(host), `${host.name} knows the backend servers`)));
+		await Promise.all(fleet.hosts.map(async host => waitUntil(async () => fleet.#listsAllBackends(host), `${host.name} lists the backend servers`)));
 		return fleet;
 	}
 
@@ -87,38 +88,38 @@
 
 	startBackend(options: {kind: string; name: string; port: number; entries: readonly string[]; extra: readonly string[]}): FleetProcess {
 		const {kind, name, port, entries, extra} = options;
-		const own = ['--kind', kind, '--name', name, '--port', String(port)];
-		const child = this.#spawn(name, [FAKE, ...own, ...entries.flatMap(entry => ['--entry', entry]), ...extra]);
+		const baseArguments = ['--kind', kind, '--name', name, '--port', String(port)];
+		const child = this.#spawn(name, [FAKE_BACKEND, ...baseArguments, ...entries.flatMap(entry => ['--entry', entry]), ...extra]);
 		return {
 			name, role: kind, url: `http://127.0.0.1:${port}`, child,
 		};
 	}
 
-	/** Kills a host and starts it again, with or without what its disk held. */
-	async restartHost(record: FleetProcess, options: {readonly wipe: boolean}): Promise<FleetProcess> {
-		await killProcess(record);
-		if (options.wipe && record.settings?.dataFolder !== undefined) {
-			await rm(record.settings.dataFolder, {recursive: true, force: true});
+	/** Kills a host and starts it again; `wipe` deletes its data folder in between. */
+	async restartHost(host: FleetProcess, options: {readonly wipe: boolean}): Promise<FleetProcess> {
+		await killProcess(host);
+		if (options.wipe && host.settings?.dataFolder !== undefined) {
+			await rm(host.settings.dataFolder, {recursive: true, force: true});
 		}
 
-		const fresh = await this.startHost(record.settings!);
-		this.hosts[this.hosts.indexOf(record)] = fresh;
-		await waitUntil(async () => (await fetch(`${fresh.url}/healthz`)).status === 200, `${fresh.name} listens`);
-		return fresh;
+		const restarted = await this.startHost(host.settings!);
+		this.hosts[this.hosts.indexOf(host)] = restarted;
+		await waitUntil(async () => (await fetch(`${restarted.url}/healthz`)).status === 200, `${restarted.name} listens`);
+		return restarted;
 	}
 
-	/** Ends every process of the fleet, by its id. */
+	/** Kills every process of the fleet by its process id and deletes the fleet's folder. */
 	async stop(): Promise<void> {
 		if (this.#isStopped) {
 			return;
 		}
 
 		this.#isStopped = true;
-		await Promise.all([...this.hosts, ...this.backends].map(async record => killProcess(record)));
+		await Promise.all([...this.hosts, ...this.backends].map(async target => killProcess(target)));
 		await rm(this.folder, {recursive: true, force: true});
 	}
 
-	async #knowsBackends(host: FleetProcess): Promise<boolean> {
+	async #listsAllBackends(host: FleetProcess): Promise<boolean> {
 		const status = await (await fetch(`${host.url}/api/v1/status`)).json() as {servers: unknown[]};
 		return status.servers.length >= this.backends.length;
 	}
@@ -136,33 +137,33 @@
 	}
 }
 
-/** Tells whether a process has not ended. */
+/** Returns whether a process has not exited. */
 export function isRunning({child}: FleetProcess): boolean {
 	return child.exitCode === null && child.signalCode === null;
 }
 
-/** Kills a process and waits until it is gone. */
-export async function killProcess(record: FleetProcess): Promise<void> {
-	if (isRunning(record)) {
+/** Kills a process with SIGKILL and waits until it has exited. */
+export async function killProcess(target: FleetProcess): Promise<void> {
+	if (isRunning(target)) {
 		await new Promise<void>(resolve => {
-			record.child.once('exit', () => {
+			target.child.once('exit', () => {
 				resolve();
 			});
-			record.child.kill('SIGKILL');
+			target.child.kill('SIGKILL');
 		});
 	}
 }
 
-/** Waits for a condition; a failed check counts as not yet. */
-export async function waitUntil(condition: () => Promise<boolean>, what: string, withinMs = READY_TIMEOUT_MS): Promise<void> {
-	const untilMs = performance.now() + withinMs;
+/** Polls a condition until it holds; a rejection counts as false. Throws after the timeout. */
+export async function waitUntil(condition: () => Promise<boolean>, description: string, timeoutMs = READY_TIMEOUT_MS): Promise<void> {
+	const deadlineMs = performance.now() + timeoutMs;
 	for (;;) {
 		if (await condition().catch(() => false)) {
 			return;
 		}
 
-		if (performance.now() > untilMs) {
-			throw new Error(`Not within ${withinMs} ms: ${what}`);
+		if (performance.now() > deadlineMs) {
+			throw new Error(`Timed out after ${timeoutMs} ms while waiting for: ${description}`);
 		}
 
 		await new Promise(resolve => {
@@ -171,7 +172,7 @@
 	}
 }
 
-/** Finds a free port. */
+/** Finds a free TCP port on 127.0.0.1. */
 export async function findPort(): Promise<number> {
 	return new Promise((resolve, reject) => {
 		const server = net.createServer();
@@ -185,12 +186,12 @@
 	});
 }
 
-async function createSettings(folder: string, plan: FleetOptions): Promise<Settings[]> {
-	const count = plan.controlHosts + plan.entryHosts;
+async function createSettings(folder: string, options: FleetOptions): Promise<Settings[]> {
+	const count = options.controlHosts + options.entryHosts;
 	const dataCentres = ['a', 'b', 'c'];
 	const hosts: Array<{host: string; dataCentre: string; httpPort: number; peerPort: number}> = [];
 	for (let index = 0; index < count; index++) {
-		const httpPort = index === 0 && plan.firstPort ? plan.firstPort : await findPort();
+		const httpPort = index === 0 && options.firstPort ? options.firstPort : await findPort();
 		const peerPort = await findPort();
 		hosts.push({
 			host: `host-${index + 1}`, dataCentre: dataCentres[index % 3]!, httpPort, peerPort,
@@ -201,12 +202,12 @@
 	return hosts.map(({host, dataCentre, httpPort, peerPort}, index) => ({
 		host,
 		dataCentre,
-		roles: index < plan.controlHosts ? ['control', 'entry'] : ['entry'],
+		roles: index < options.controlHosts ? ['control', 'entry'] : ['entry'],
 		http: {address: '127.0.0.1', port: httpPort},
 		peer: {address: '127.0.0.1', port: peerPort},
-		...(index < plan.controlHosts ? {dataFolder: path.join(folder, host)} : {}),
-		control: peers.slice(0, plan.controlHosts),
+		...(index < options.controlHosts ? {dataFolder: path.join(folder, host)} : {}),
+		control: peers.slice(0, options.controlHosts),
 		peers,
-		logLevel: plan.logLevel ?? 'info',
+		logLevel: options.logLevel ?? 'info',
 	}));
 }
--- a/dev/fuzz.ts
+++ b/dev/fuzz.ts
@@ -1,5 +1,6 @@
 /**
- * Runs random schedules of work and faults through the step machines and checks what must always hold.
+ * Runs the control, entry and backend state machines in a deterministic simulation with random work and faults, and
+ * checks safety and liveness invariants.
  *
  * @example
  * ```sh
@@ -35,7 +36,7 @@
 	}
 
 	if (values.mutate !== undefined && !(values.mutate in MUTATIONS)) {
-		console.error(`No mutation ${values.mutate}; there are ${Object.keys(MUTATIONS).join(', ')}.`);
+		console.error(`Unknown mutation ${values.mutate}. Mutations: ${Object.keys(MUTATIONS).join(', ')}.`);
 		process.exitCode = 2;
 		return;
 	}
@@ -45,7 +46,7 @@
 
 function fuzz(firstSeed: number, runs: number, mutation: Mutation | undefined): void {
 	const faults: FaultCounts = {};
-	const sums = {
+	const totals = {
 		steps: 0, commits: 0, keys: 0, orders: 0,
 	};
 	for (let run = 0; run < runs; run++) {
@@ -54,31 +55,31 @@
 			faults[kind] = (faults[kind] ?? 0) + count;
 		}
 
-		sums.steps += result.steps;
-		sums.commits += result.commits;
-		sums.keys += result.keys;
-		sums.orders += result.orders;
+		totals.steps += result.steps;
+		totals.commits += result.commits;
+		totals.keys += result.keys;
+		totals.orders += result.orders;
 		if (result.violation !== undefined) {
-			printSummary(run + 1, sums, faults);
+			printSummary(run + 1, totals, faults);
 			printViolation(result, run + 1);
 			process.exitCode = 1;
 			return;
 		}
 	}
 
-	printSummary(runs, sums, faults);
+	printSummary(runs, totals, faults);
 	console.log('No violation.');
 }
 
-function printSummary(runs: number, sums: Readonly<Record<string, number>>, faults: FaultCounts): void {
-	const counts = Object.entries(sums).map(([name, count]) => `${count} ${name}`);
+function printSummary(runs: number, totals: Readonly<Record<string, number>>, faults: FaultCounts): void {
+	const counts = Object.entries(totals).map(([name, count]) => `${count} ${name}`);
 	console.log(`${runs} runs: ${counts.join(', ')}`);
 	console.log(`faults: ${Object.entries(faults).map(([kind, count]) => `${kind} ${count}`).join(', ')}`);
 }
 
 function printViolation(result: RunResult, run: number): void {
 	console.log(`VIOLATION in run ${run}, seed ${result.seed}: ${result.violation}`);
-	console.log(`The last ${Math.min(TRACE_LINES, result.trace.length)} lines of its trace (again: npm run fuzz -- --seed ${result.seed} --runs 1${values.mutate ? ` --mutate ${values.mutate}` : ''}):`);
+	console.log(`The last ${Math.min(TRACE_LINES, result.trace.length)} lines of its trace (reproduce with: npm run fuzz -- --seed ${result.seed} --runs 1${values.mutate ? ` --mutate ${values.mutate}` : ''}):`);
 	for (const line of result.trace.slice(-TRACE_LINES)) {
 		console.log(line);
 	}
--- a/dev/fuzz/backend.ts
+++ b/dev/fuzz/backend.ts
@@ -1,5 +1,5 @@
 /**
- * Backend servers in the fuzzer.
+ * Simulated backend servers of the fuzzer.
  *
  * @module
  */
@@ -10,11 +10,11 @@
 import type {Mutation} from './mutations.js';
 import type {SimulatedProcess, Simulator} from './simulator.js';
 
-const ORDER_MS = 200;
-const ANNOUNCE_MS = 100;
-const WORK_MS = 250;
+const ORDER_EXECUTION_MS = 200;
+const ANNOUNCE_INTERVAL_MS = 100;
+const MAX_BOOKING_MS = 250;
 
-/** An engine: runs requests, takes orders; some check fencing numbers, some do not. */
+/** An engine: runs requests and executes orders. Only some engines check fencing numbers. */
 export class EngineProcess {
 	readonly process: SimulatedProcess;
 	readonly name: string;
@@ -23,11 +23,11 @@
 	readonly #checker: InvariantChecker;
 	readonly #mutation: Mutation | undefined;
 	readonly #announce: (announcement: Announcement) => void;
-	/** Running requests, and whether their host was entitled to send them. */
+	/** Running requests, and whether their host held a view lease when it sent them. */
 	#running = new Map<string, boolean>();
-	#highest = 0;
-	#last = 0;
-	#state: 'done' | 'running' = 'done';
+	#highestOrder = 0;
+	#lastOrder = 0;
+	#orderState: 'done' | 'running' = 'done';
 	#incarnation = 1;
 	#sequence = 0;
 
@@ -39,13 +39,13 @@
 		this.#mutation = options.mutation;
 		this.#announce = options.announce;
 		this.process = options.simulator.addProcess(options.name);
-		this.#tick();
+		this.#announceRepeatedly();
 	}
 
 	kill(): void {
 		this.#simulator.kill(this.process);
 		this.#running = new Map();
-		this.#state = 'done';
+		this.#orderState = 'done';
 	}
 
 	restart(): void {
@@ -53,20 +53,20 @@
 			this.process.isAlive = true;
 			this.#incarnation++;
 			this.#sequence = 0;
-			// Whoever checks fences remembers them; an engine that does not has forgotten its last order too.
-			this.#last = this.checksFence ? this.#last : 0;
-			this.#tick();
+			// An engine that checks fencing numbers keeps its last order across restarts; the others forget it.
+			this.#lastOrder = this.checksFence ? this.#lastOrder : 0;
+			this.#announceRepeatedly();
 		}
 	}
 
-	/** Runs a request unless an order is being carried out. */
-	runRequest(request: string, isEntitled: boolean, reply: (isRun: boolean) => void): void {
-		if (this.#state === 'running') {
+	/** Runs a request unless an order is being executed. */
+	runRequest(request: string, hasLease: boolean, reply: (isRun: boolean) => void): void {
+		if (this.#orderState === 'running') {
 			reply(false);
 			return;
 		}
 
-		this.#running.set(request, isEntitled);
+		this.#running.set(request, hasLease);
 		this.#simulator.scheduleOn(this.process, 20 + (this.#simulator.random() * 600), () => {
 			this.#running.delete(request);
 			reply(true);
@@ -74,48 +74,50 @@
 	}
 
 	receiveOrder(order: OpenOrder, reply: (report: OrderReport) => void): void {
-		const isChecking = this.checksFence && this.#mutation !== 'no-fence';
+		const isFenceChecked = this.checksFence && this.#mutation !== 'no-fence';
 		const base = {server: this.name, order: order.order};
-		if (isChecking && order.order < this.#highest) {
+		if (isFenceChecked && order.order < this.#highestOrder) {
 			reply({type: 'failed', ...base, note: 'old'});
 			return;
 		}
 
-		if (order.order !== this.#last) {
+		if (order.order !== this.#lastOrder) {
 			this.#execute(order.order);
 		}
 
-		reply(this.readBack(order));
+		reply(this.queryOrder(order));
 	}
 
-	readBack(order: OpenOrder): OrderReport {
+	/** Reports what became of an order. */
+	queryOrder(order: OpenOrder): OrderReport {
 		const base = {server: this.name, order: order.order};
-		if (this.#last === order.order) {
-			return this.#state === 'done' ? {type: 'done', ...base, note: 'done'} : {type: 'running', ...base};
+		if (this.#lastOrder === order.order) {
+			return this.#orderState === 'done' ? {type: 'done', ...base, note: 'done'} : {type: 'running', ...base};
 		}
 
-		return this.#last > order.order ? {type: 'failed', ...base, note: 'newer'} : {type: 'absent', ...base};
+		return this.#lastOrder > order.order ? {type: 'failed', ...base, note: 'newer'} : {type: 'absent', ...base};
 	}
 
 	#execute(order: number): void {
 		this.#checker.recordOrderExecuted(this.name, order);
-		this.#simulator.log(`${this.name} carries out order ${order}`);
-		for (const [request, isEntitled] of this.#running) {
-			if (isEntitled) {
+		this.#simulator.log(`${this.name} executes order ${order}`);
+		for (const [request, hasLease] of this.#running) {
+			if (hasLease) {
 				this.#checker.recordInterruptedRequest(this.name, request);
 			}
 		}
 
 		this.#running = new Map();
-		this.#last = order;
-		this.#highest = Math.max(this.#highest, order);
-		this.#state = 'running';
-		this.#simulator.scheduleOn(this.process, ORDER_MS, () => {
-			this.#state = 'done';
+		this.#lastOrder = order;
+		this.#highestOrder = Math.max(this.#highestOrder, order);
+		this.#orderState = 'running';
+		this.#simulator.scheduleOn(this.process, ORDER_EXECUTION_MS, () => {
+			this.#orderState = 'done';
 		});
 	}
 
-	#tick(): void {
+	/** Announces the engine and schedules the next announcement. */
+	#announceRepeatedly(): void {
 		this.#sequence++;
 		this.#announce({
 			server: this.name,
@@ -127,13 +129,13 @@
 			checksFence: this.checksFence,
 			load: {running: this.#running.size, waiting: 0},
 		});
-		this.#simulator.scheduleOn(this.process, ANNOUNCE_MS, () => {
-			this.#tick();
+		this.#simulator.scheduleOn(this.process, ANNOUNCE_INTERVAL_MS, () => {
+			this.#announceRepeatedly();
 		});
 	}
 }
 
-/** A plain server whose work may not be repeated. */
+/** A plain server whose requests are non-repeatable. */
 export class PlainServerProcess {
 	readonly process: SimulatedProcess;
 	readonly #simulator: Simulator;
@@ -147,7 +149,7 @@
 
 	runBooking(key: string, attempt: string, reply: (booking: string) => void): void {
 		this.#checker.recordRun(key, attempt);
-		this.#simulator.scheduleOn(this.process, this.#simulator.random() * WORK_MS, () => {
+		this.#simulator.scheduleOn(this.process, this.#simulator.random() * MAX_BOOKING_MS, () => {
 			reply(`${key}:${attempt}`);
 		});
 	}
--- a/dev/fuzz/control.ts
+++ b/dev/fuzz/control.ts
@@ -1,5 +1,5 @@
 /**
- * A control host in the fuzzer: the real replica, state and controller, with a disk and a network that fail.
+ * Simulated control host of the fuzzer: the production replica, state and controller on a simulated disk and network.
  *
  * @module
  */
@@ -23,7 +23,7 @@
 import {createConsensusMechanisms, createOrderMechanisms, type Mutation} from './mutations.js';
 import type {SimulatedProcess, Simulator} from './simulator.js';
 
-export type ReplyCallback<Answer> = (answer: Either.Either<'not-leader' | 'unknown', Answer>) => void;
+export type ReplyCallback<Result> = (result: Either.Either<'not-leader' | 'unknown', Result>) => void;
 
 export type ControlContext = {
 	readonly simulator: Simulator;
@@ -35,7 +35,7 @@
 	readonly timing: ControllerTiming;
 	/** Called when a replica's commit index rises. */
 	readonly onCommit?: (control: ControlProcess) => void;
-	/** Called when a leader has learned that an order of its was not sent, just before it sends it. */
+	/** Called when a leader has learned that a server never received one of its orders, before it sends that order. */
 	readonly onOrderAbsent?: (control: ControlProcess, server: string, order: number) => void;
 	readonly onLeader: (control: ControlProcess) => void;
 };
@@ -46,12 +46,12 @@
 };
 
 const TICK_MS = 40;
-const SYNC_MS = 4;
+const MAX_SYNC_MS = 4;
 const COMPACT_AFTER_ENTRIES = 25;
-const LATE_ORDER_SHARE = 0.3;
-const LATEST_ORDER_MS = 9000;
+const LATE_ORDER_PROBABILITY = 0.3;
+const MAX_LATE_ORDER_MS = 9000;
 
-/** One control host. */
+/** A control host. */
 export class ControlProcess {
 	readonly process: SimulatedProcess;
 	readonly host: string;
@@ -60,31 +60,31 @@
 	identity: string;
 	state = new ControlState();
 	controller: Controller | undefined;
-	repair: Repair | undefined;
-	#image: Image;
-	#writes: PendingWrite[] = [];
+	reconfiguration: Repair | undefined;
+	#persistentState: Image;
+	#unsyncedWrites: PendingWrite[] = [];
 	#isSyncing = false;
-	readonly #pending = new Map<number, {readonly term: number; readonly reply: ReplyCallback<Outcome>}>();
-	readonly #reads = new Map<number, ReplyCallback<ControlState>>();
+	readonly #pendingProposals = new Map<number, {readonly term: number; readonly reply: ReplyCallback<Outcome>}>();
+	readonly #pendingReads = new Map<number, ReplyCallback<ControlState>>();
 	#nextRead = 1;
 	#incarnation = 1;
 	readonly #subscribers = new Map<string, {process: SimulatedProcess; push: (view: ViewUpdate) => void; sentVersion: number}>();
 
-	constructor(context: ControlContext, host: string, first: Configuration | undefined) {
+	constructor(context: ControlContext, host: string, initialConfiguration: Configuration | undefined) {
 		this.#context = context;
 		this.host = host;
 		this.identity = `${host}.1`;
 		this.process = context.simulator.addProcess(host);
-		this.#image = first ? {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: first}} : EMPTY_IMAGE;
+		this.#persistentState = initialConfiguration ? {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: initialConfiguration}} : EMPTY_IMAGE;
 		context.controls.set(host, this);
-		this.#boot();
+		this.#start();
 	}
 
 	get isLeader(): boolean {
 		return this.replica?.role === 'leader' && this.process.isAlive;
 	}
 
-	/** Whether it leads, knows all that is committed, and can have no successor yet. */
+	/** Whether it is the leader, has applied all committed entries, and no other leader can exist yet. */
 	get holdsLeaderLease(): boolean {
 		const {nowMs} = this.#context.simulator;
 		return this.isLeader && this.replica!.isLeaderReady && this.replica!.leaseUntilMs(nowMs) > nowMs;
@@ -93,21 +93,21 @@
 	kill(options: {readonly wipe: boolean}): void {
 		const {simulator, mutation} = this.#context;
 		simulator.kill(this.process);
-		// Writes that were not synced are lost, or some of the first of them are on disk after all.
-		const kept = Math.floor(simulator.random() * (this.#writes.length + 1));
-		this.#image = applyRecords(this.#image, this.#writes.slice(0, kept).flatMap(write => write.records));
-		this.#writes = [];
+		// A crash persists an arbitrary prefix of the writes that were not synced; the rest is lost.
+		const persistedCount = Math.floor(simulator.random() * (this.#unsyncedWrites.length + 1));
+		this.#persistentState = applyRecords(this.#persistentState, this.#unsyncedWrites.slice(0, persistedCount).flatMap(write => write.records));
+		this.#unsyncedWrites = [];
 		this.#isSyncing = false;
 		this.replica = undefined;
 		this.controller = undefined;
-		this.repair = undefined;
-		this.#pending.clear();
-		this.#reads.clear();
+		this.reconfiguration = undefined;
+		this.#pendingProposals.clear();
+		this.#pendingReads.clear();
 		if (options.wipe) {
-			this.#image = EMPTY_IMAGE;
+			this.#persistentState = EMPTY_IMAGE;
 			if (mutation === 'wiped-replica-votes') {
-				// The identity is taken from the settings, and so is the first configuration.
-				this.#image = {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: this.#context.checker.initialConfiguration}};
+				// The replica keeps its identity and starts from the initial configuration, as if both came from its settings.
+				this.#persistentState = {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: this.#context.checker.initialConfiguration}};
 			} else {
 				this.#incarnation++;
 				this.identity = `${this.host}.${this.#incarnation}`;
@@ -118,18 +118,18 @@
 	restart(): void {
 		if (!this.process.isAlive) {
 			this.process.isAlive = true;
-			this.#boot();
+			this.#start();
 		}
 	}
 
-	/** Whether it waits to be admitted by the others. */
+	/** Whether the replica has no configuration and waits for the others to add it. */
 	get isAwaitingAdmission(): boolean {
 		return this.replica?.configuration.voters.length === 0;
 	}
 
 	receive(from: string, to: string, body: ConsensusBody): void {
 		if (to === this.identity && this.replica) {
-			this.#run(this.replica.step({type: 'message', from, body}, this.#context.simulator.nowMs));
+			this.#execute(this.replica.step({type: 'message', from, body}, this.#context.simulator.nowMs));
 		}
 	}
 
@@ -140,19 +140,19 @@
 			return;
 		}
 
-		this.#pending.set(replica.lastIndex + 1, {term: replica.term, reply});
-		this.#run(replica.step({type: 'propose', data: [encodeValue(command)]}, this.#context.simulator.nowMs));
+		this.#pendingProposals.set(replica.lastIndex + 1, {term: replica.term, reply});
+		this.#execute(replica.step({type: 'propose', data: [encodeValue(command)]}, this.#context.simulator.nowMs));
 	}
 
 	read(reply: ReplyCallback<ControlState>): void {
 		const id = this.#nextRead++;
-		this.#reads.set(id, reply);
+		this.#pendingReads.set(id, reply);
 		if (this.replica) {
-			this.#run(this.replica.step({type: 'read', id}, this.#context.simulator.nowMs));
+			this.#execute(this.replica.step({type: 'read', id}, this.#context.simulator.nowMs));
 		}
 	}
 
-	/** Renews a view lease; later views are pushed to the subscriber as they come. */
+	/** Renews a view lease and subscribes the entry host to later updates of the resource view. */
 	renew(message: Renew, subscriber: {readonly process: SimulatedProcess; push(view: ViewUpdate): void}, reply: ReplyCallback<{readonly leaseMs: number; readonly view: ViewUpdate}>): void {
 		if (this.controller === undefined || !this.holdsLeaderLease) {
 			reply(Either.left('not-leader'));
@@ -168,30 +168,30 @@
 		reply(Either.right({leaseMs, view: this.state.updateSince(message.version)}));
 	}
 
-	beginRepair(repair: Repair): boolean {
-		if (!this.replica?.isLeaderReady || Either.isLeft(checkRepair(repair, this.#membersView(), this.repair))) {
+	beginReconfiguration(reconfiguration: Repair): boolean {
+		if (!this.replica?.isLeaderReady || Either.isLeft(checkRepair(reconfiguration, this.#membersView(), this.reconfiguration))) {
 			return false;
 		}
 
-		this.repair = repair;
-		this.#context.simulator.log(`${this.host} begins repair ${JSON.stringify({add: repair.add?.replica, remove: repair.remove})}`);
+		this.reconfiguration = reconfiguration;
+		this.#context.simulator.log(`${this.host} begins a reconfiguration: ${JSON.stringify({add: reconfiguration.add?.replica, remove: reconfiguration.remove})}`);
 		return true;
 	}
 
 	transferLeadership(): void {
 		if (this.replica) {
-			this.#run(this.replica.step({type: 'hand-over'}, this.#context.simulator.nowMs));
+			this.#execute(this.replica.step({type: 'hand-over'}, this.#context.simulator.nowMs));
 		}
 	}
 
-	#boot(): void {
+	#start(): void {
 		const {simulator, mutation} = this.#context;
-		this.state = this.#image.snapshot.data.length > 0 ? this.#restoreState(this.#image.snapshot.data) : this.#createState();
+		this.state = this.#persistentState.snapshot.data.length > 0 ? this.#restoreState(this.#persistentState.snapshot.data) : this.#createState();
 		this.replica = new Replica({
 			replica: this.identity,
-			hard: this.#image.hard,
-			snapshot: this.#image.snapshot,
-			entries: this.#image.entries,
+			hard: this.#persistentState.hard,
+			snapshot: this.#persistentState.snapshot,
+			entries: this.#persistentState.entries,
 			nowMs: simulator.nowMs,
 			random: createRandom(Math.floor(simulator.random() * 1e9)),
 			mechanisms: createConsensusMechanisms(mutation),
@@ -222,41 +222,41 @@
 	#tick(): void {
 		const {simulator} = this.#context;
 		const replica = this.replica!;
-		this.#run(replica.step({type: 'tick'}, simulator.nowMs));
+		this.#execute(replica.step({type: 'tick'}, simulator.nowMs));
 		const applied = this.state.version;
 		if (applied - replica.snapshotIndex > COMPACT_AFTER_ENTRIES) {
-			this.#run(replica.step({type: 'compact', index: applied, data: encodeValue(this.state.save())}, simulator.nowMs));
+			this.#execute(replica.step({type: 'compact', index: applied, data: encodeValue(this.state.save())}, simulator.nowMs));
 		}
 	}
 
-	/** Has a timer of its own, as in the daemon: after a pause it may fire before the replica's. */
+	/** Runs on a separate timer, as in the daemon: after a pause it may fire before the replica's timer. */
 	#tickController(): void {
 		const replica = this.replica!;
 		if (this.controller && replica.isLeaderReady) {
-			for (const effect of this.controller.tick(this.state, this.#authority())) {
-				this.#runController(effect);
+			for (const effect of this.controller.tick(this.state, this.#leaderLease())) {
+				this.#executeControllerEffect(effect);
 			}
 
-			this.#tickRepair();
+			this.#tickReconfiguration();
 		}
 	}
 
-	#tickRepair(): void {
+	#tickReconfiguration(): void {
 		const view = this.#membersView();
-		if (!this.repair) {
+		if (!this.reconfiguration) {
 			return;
 		}
 
-		if (isRepaired(this.repair, view)) {
-			this.#context.simulator.log(`${this.host} finished the repair`);
-			this.repair = undefined;
+		if (isRepaired(this.reconfiguration, view)) {
+			this.#context.simulator.log(`${this.host} finished the reconfiguration`);
+			this.reconfiguration = undefined;
 			return;
 		}
 
-		const next = nextConfiguration(this.repair, view);
+		const next = nextConfiguration(this.reconfiguration, view);
 		if (next) {
 			const configuration = this.#context.mutation === 'swap-in-one-step' ? {...next, outgoing: []} : next;
-			this.#run(this.replica!.step({type: 'configure', configuration}, this.#context.simulator.nowMs));
+			this.#execute(this.replica!.step({type: 'configure', configuration}, this.#context.simulator.nowMs));
 		}
 	}
 
@@ -271,12 +271,12 @@
 		};
 	}
 
-	#authority() {
+	#leaderLease() {
 		const {nowMs} = this.#context.simulator;
 		return {nowMs, wallMs: Math.floor(nowMs), leaseUntilMs: this.replica!.leaseUntilMs(nowMs)};
 	}
 
-	#runController(effect: ControllerEffect): void {
+	#executeControllerEffect(effect: ControllerEffect): void {
 		const {simulator, engines, checker} = this.#context;
 		if (effect.type === 'propose') {
 			this.propose(effect.command, () => undefined);
@@ -285,16 +285,16 @@
 
 		const engine = engines.get(effect.server.server);
 		const {order} = effect;
-		let isAnswered = false;
-		const answer = (report: OrderReport) => {
-			if (!isAnswered) {
-				isAnswered = true;
-				this.#onReport(report);
+		let isReported = false;
+		const reportOnce = (report: OrderReport) => {
+			if (!isReported) {
+				isReported = true;
+				this.#onOrderReport(report);
 			}
 		};
 
 		simulator.scheduleOn(this.process, this.#context.timing.orderTransitMs * 0.8, () => {
-			answer({type: 'lost', server: order.server, order: order.order});
+			reportOnce({type: 'lost', server: order.server, order: order.order});
 		});
 		if (!engine) {
 			return;
@@ -303,9 +303,9 @@
 		if (effect.type === 'send-order') {
 			checker.recordOrderSent(order.server, order.order);
 			simulator.log(`${this.host} sends order ${order.order} to ${order.server}`);
-			if (engine.checksFence && simulator.random() < LATE_ORDER_SHARE) {
-				// The process was paused between its last check and the write; the fence must hold against that.
-				simulator.schedule(simulator.random() * LATEST_ORDER_MS, () => {
+			if (engine.checksFence && simulator.random() < LATE_ORDER_PROBABILITY) {
+				// Simulates a pause between the leader's last lease check and the write: fencing must reject the late order.
+				simulator.schedule(simulator.random() * MAX_LATE_ORDER_MS, () => {
 					if (engine.process.isAlive) {
 						engine.receiveOrder(order, () => undefined);
 					}
@@ -315,7 +315,7 @@
 			simulator.send(this.process, engine.process, () => {
 				engine.receiveOrder(order, report => {
 					simulator.send(engine.process, this.process, () => {
-						answer(report);
+						reportOnce(report);
 					});
 				});
 			}, {once: !engine.checksFence, withinMs: this.#context.timing.orderTransitMs});
@@ -323,40 +323,40 @@
 		}
 
 		simulator.send(this.process, engine.process, () => {
-			const report = engine.readBack(order);
+			const report = engine.queryOrder(order);
 			simulator.send(engine.process, this.process, () => {
-				answer(report);
+				reportOnce(report);
 			});
 		});
 	}
 
-	#onReport(report: OrderReport): void {
+	#onOrderReport(report: OrderReport): void {
 		if (report.type === 'absent') {
 			this.#context.onOrderAbsent?.(this, report.server, report.order);
 		}
 
 		if (this.controller && this.replica?.isLeaderReady) {
-			for (const effect of this.controller.report(report, this.#authority())) {
-				this.#runController(effect);
+			for (const effect of this.controller.report(report, this.#leaderLease())) {
+				this.#executeControllerEffect(effect);
 			}
 		}
 	}
 
-	#run(effects: readonly Effect[]): void {
+	#execute(effects: readonly Effect[]): void {
 		const {generation} = this.process;
 		for (const effect of effects) {
-			// A process that is killed in the middle of a step does not do the rest of it.
+			// A process that is killed in the middle of a step does not execute the remaining effects.
 			if (this.process.isAlive && this.process.generation === generation) {
-				this.#runOne(effect);
+				this.#executeEffect(effect);
 			}
 		}
 	}
 
-	#runOne(effect: Effect): void {
+	#executeEffect(effect: Effect): void {
 		const {simulator, checker, mutation} = this.#context;
 		switch (effect.type) {
 			case 'write': {
-				this.#writes.push(effect);
+				this.#unsyncedWrites.push(effect);
 				this.#sync();
 				break;
 			}
@@ -390,25 +390,25 @@
 
 				this.#subscribers.clear();
 				this.controller = effect.role === 'leader' ? new Controller(simulator.nowMs, this.#context.timing, createOrderMechanisms(mutation)) : undefined;
-				this.repair = effect.role === 'leader' ? this.repair : undefined;
+				this.reconfiguration = effect.role === 'leader' ? this.reconfiguration : undefined;
 				break;
 			}
 
 			case 'read': {
-				this.#settleRead(effect.id, Either.right(this.state));
+				this.#completeRead(effect.id, Either.right(this.state));
 				break;
 			}
 
 			case 'read-refused': {
-				this.#settleRead(effect.id, Either.left('not-leader'));
+				this.#completeRead(effect.id, Either.left('not-leader'));
 				break;
 			}
 		}
 	}
 
-	#settleRead(id: number, answer: Either.Either<'not-leader' | 'unknown', ControlState>): void {
-		const reply = this.#reads.get(id);
-		this.#reads.delete(id);
+	#completeRead(id: number, answer: Either.Either<'not-leader' | 'unknown', ControlState>): void {
+		const reply = this.#pendingReads.get(id);
+		this.#pendingReads.delete(id);
 		reply?.(answer);
 	}
 
@@ -424,18 +424,18 @@
 	}
 
 	#sync(): void {
-		if (this.#isSyncing || this.#writes.length === 0) {
+		if (this.#isSyncing || this.#unsyncedWrites.length === 0) {
 			return;
 		}
 
 		this.#isSyncing = true;
 		const {simulator} = this.#context;
-		const count = this.#writes.length;
-		simulator.scheduleOn(this.process, 0.2 + (simulator.random() * SYNC_MS), () => {
-			const batch = this.#writes.splice(0, count);
+		const count = this.#unsyncedWrites.length;
+		simulator.scheduleOn(this.process, 0.2 + (simulator.random() * MAX_SYNC_MS), () => {
+			const batch = this.#unsyncedWrites.splice(0, count);
 			this.#isSyncing = false;
-			this.#image = applyRecords(this.#image, batch.flatMap(write => write.records));
-			this.#run(this.replica!.step({type: 'synced', sequence: batch.at(-1)!.sequence}, simulator.nowMs));
+			this.#persistentState = applyRecords(this.#persistentState, batch.flatMap(write => write.records));
+			this.#execute(this.replica!.step({type: 'synced', sequence: batch.at(-1)!.sequence}, simulator.nowMs));
 			this.#sync();
 		});
 	}
@@ -449,8 +449,8 @@
 				this.state.skip(entry.index);
 			}
 
-			const pending = this.#pending.get(entry.index);
-			this.#pending.delete(entry.index);
+			const pending = this.#pendingProposals.get(entry.index);
+			this.#pendingProposals.delete(entry.index);
 			pending?.reply(pending.term === entry.term && outcome ? Either.right(outcome) : Either.left('not-leader'));
 		}
 
@@ -472,7 +472,7 @@
 
 	#applyCommand(entry: CommandEntry): Outcome {
 		const command = decodeValue(entry.data) as Command;
-		const isJudgedAnew = this.#context.mutation === 'no-request-memory' && command.type === 'put';
-		return this.state.apply(isJudgedAnew ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
+		const isEvaluatedAgain = this.#context.mutation === 'no-request-memory' && command.type === 'put';
+		return this.state.apply(isEvaluatedAgain ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
 	}
 }
--- a/dev/fuzz/entry.ts
+++ b/dev/fuzz/entry.ts
@@ -1,5 +1,6 @@
 /**
- * An entry host in the fuzzer: the real view, and the protocol of its tasks in small.
+ * Simulated entry host of the fuzzer: the production resource view, with a simplified version of the entry host's
+ * requests to control hosts and backend servers.
  *
  * @module
  */
@@ -22,19 +23,19 @@
 	readonly mutation: Mutation | undefined;
 	readonly controls: Map<string, ControlProcess>;
 	readonly engines: Map<string, EngineProcess>;
-	readonly plains: readonly PlainServerProcess[];
+	readonly plainServers: readonly PlainServerProcess[];
 };
 
-const ANSWER_TIMEOUT_MS = 1000;
-const RETRY_MS = 60;
-const RENEW_MS = 200;
+const RESPONSE_TIMEOUT_MS = 1000;
+const RETRY_DELAY_MS = 60;
+const RENEW_INTERVAL_MS = 200;
 const CLAIM_DEADLINE_MS = 3000;
 const SETTLE_DEADLINE_MS = 60_000;
-const PLAIN_TIMEOUT_MS = 600;
-const POLL_MS = 150;
-const MAX_POLLS = 20;
+const PLAIN_SERVER_TIMEOUT_MS = 600;
+const CLAIM_POLL_INTERVAL_MS = 150;
+const MAX_CLAIM_POLLS = 20;
 
-/** One entry host. */
+/** An entry host. */
 export class EntryProcess {
 	readonly process: SimulatedProcess;
 	readonly host: string;
@@ -83,21 +84,21 @@
 		}
 	}
 
-	/** Serves a call that may not be repeated. */
-	bookSeat(key: string, reply: (told: BookingOutcome) => void): void {
-		this.#claim(key, {attempt: `${this.#boot}/${this.#nextAttempt++}`, polls: 0}, (attempt, told) => {
-			this.#context.checker.recordBookingOutcome(key, attempt, told);
-			reply(told);
+	/** Serves a non-repeatable request. */
+	bookSeat(key: string, reply: (outcome: BookingOutcome) => void): void {
+		this.#claim(key, {attempt: `${this.#boot}/${this.#nextAttempt++}`, polls: 0}, (attempt, outcome) => {
+			this.#context.checker.recordBookingOutcome(key, attempt, outcome);
+			reply(outcome);
 		});
 	}
 
-	/** Reads the configuration as an operator does; it must contain everything that was accepted before. */
+	/** Reads the resources as an operator does; the result must include everything that was accepted before. */
 	readConfiguration(): void {
 		const {checker} = this.#context;
 		const floor = checker.highestAcceptedVersion;
-		this.#ask<number>(3000, (control, answer) => {
+		this.#askControl<number>(3000, (control, respond) => {
 			control.read(state => {
-				answer(Either.map((found: {viewVersion: number}) => found.viewVersion)(state));
+				respond(Either.map((found: {viewVersion: number}) => found.viewVersion)(state));
 			});
 		}, version => {
 			if (version !== undefined) {
@@ -106,7 +107,7 @@
 		});
 	}
 
-	/** Sends a repeatable request to an engine that the view allows. */
+	/** Sends a repeatable request to an engine that the resource view does not exclude. */
 	sendModelRequest(request: string): void {
 		const {engines, simulator} = this.#context;
 		const allowed = [...engines.values()].filter(engine => !this.view.findExclusion(engine.name));
@@ -117,7 +118,7 @@
 
 		const {name} = engine;
 		const {generation} = this.process;
-		const isEntitled = simulator.nowMs < this.#leaseUntilMs;
+		const hasLease = simulator.nowMs < this.#leaseUntilMs;
 		const end = () => {
 			if (this.process.generation === generation) {
 				this.#running.set(name, Math.max(0, (this.#running.get(name) ?? 0) - 1));
@@ -126,17 +127,17 @@
 
 		this.#running.set(name, (this.#running.get(name) ?? 0) + 1);
 		simulator.send(this.process, engine.process, () => {
-			engine.runRequest(request, isEntitled, () => {
+			engine.runRequest(request, hasLease, () => {
 				simulator.send(engine.process, this.process, end);
 			});
 		});
 		simulator.scheduleOn(this.process, 2000, end);
 	}
 
-	/** Proposes an idempotent command until it is answered or the deadline has passed. */
+	/** Proposes an idempotent command again and again until it gets an outcome or the deadline passes. */
 	propose(command: Command, deadlineMs: number, reply: (outcome: Outcome | undefined) => void): void {
-		this.#ask<Outcome>(deadlineMs, (control, answer) => {
-			control.propose(command, answer);
+		this.#askControl<Outcome>(deadlineMs, (control, respond) => {
+			control.propose(command, respond);
 		}, reply);
 	}
 
@@ -145,7 +146,7 @@
 			return new View();
 		}
 
-		// A view that takes every update to be newer.
+		// Under this mutation the view also applies older updates.
 		const view = new View();
 		const apply = view.apply.bind(view);
 		view.apply = update => update.version < view.version ? replaceView(view, update) : apply(update);
@@ -160,9 +161,9 @@
 	}
 
 	#readFirst(): void {
-		this.#ask<ViewUpdate>(5000, (control, answer) => {
+		this.#askControl<ViewUpdate>(5000, (control, respond) => {
 			control.read(state => {
-				answer(Either.map((found: {updateSince: (from: number) => ViewUpdate}) => found.updateSince(-1))(state));
+				respond(Either.map((found: {updateSince: (from: number) => ViewUpdate}) => found.updateSince(-1))(state));
 			});
 		}, update => {
 			if (!update) {
@@ -190,19 +191,19 @@
 			announcements: [...this.#announcements.values()].filter(({server}) => servers.includes(server)),
 			leaving: false,
 		};
-		this.#ask<{leaseMs: number; view: ViewUpdate}>(ANSWER_TIMEOUT_MS, (control, answer) => {
+		this.#askControl<{leaseMs: number; view: ViewUpdate}>(RESPONSE_TIMEOUT_MS, (control, respond) => {
 			control.renew(message, {
 				process: this.process, push: view => {
 					this.#apply(view);
 				},
-			}, answer);
+			}, respond);
 		}, renewed => {
 			if (renewed) {
 				this.#apply(renewed.view);
 				this.#leaseUntilMs = Math.max(this.#leaseUntilMs, askedMs + renewed.leaseMs);
 			}
 
-			simulator.scheduleOn(this.process, RENEW_MS * (0.5 + simulator.random()), () => {
+			simulator.scheduleOn(this.process, RENEW_INTERVAL_MS * (0.5 + simulator.random()), () => {
 				this.#renew();
 			});
 		});
@@ -214,7 +215,7 @@
 		}
 	}
 
-	#claim(key: string, {attempt, polls}: {attempt: string; polls: number}, reply: (attempt: string, told: BookingOutcome) => void): void {
+	#claim(key: string, {attempt, polls}: {attempt: string; polls: number}, reply: (attempt: string, outcome: BookingOutcome) => void): void {
 		const {simulator} = this.#context;
 		const command: Command = {
 			type: 'claim', at: Math.floor(simulator.nowMs), key, fingerprint: key, attempt, host: this.host,
@@ -227,28 +228,28 @@
 				return;
 			}
 
-			this.#onClaim({key, attempt, polls}, answer, reply);
+			this.#onClaimAnswer({key, attempt, polls}, answer, reply);
 		});
 	}
 
-	#onClaim(claim: {key: string; attempt: string; polls: number}, answer: LedgerAnswer, reply: (attempt: string, told: BookingOutcome) => void): void {
+	#onClaimAnswer(claim: {key: string; attempt: string; polls: number}, answer: LedgerAnswer, reply: (attempt: string, outcome: BookingOutcome) => void): void {
 		const {key, attempt, polls} = claim;
 		switch (answer.state) {
 			case 'granted': {
-				this.#runOnce(key, attempt, told => {
-					reply(attempt, told);
+				this.#sendBooking(key, attempt, outcome => {
+					reply(attempt, outcome);
 				});
 				break;
 			}
 
 			case 'in-flight': {
-				if (polls >= MAX_POLLS) {
+				if (polls >= MAX_CLAIM_POLLS) {
 					this.#settle(key, attempt, {type: 'not-run'});
 					reply(attempt, {type: 'unknown'});
 					return;
 				}
 
-				this.#context.simulator.scheduleOn(this.process, POLL_MS, () => {
+				this.#context.simulator.scheduleOn(this.process, CLAIM_POLL_INTERVAL_MS, () => {
 					this.#claim(key, {attempt, polls: polls + 1}, reply);
 				});
 				break;
@@ -269,28 +270,28 @@
 		}
 	}
 
-	#runOnce(key: string, attempt: string, reply: (told: BookingOutcome) => void): void {
-		const {simulator, plains, mutation} = this.#context;
+	#sendBooking(key: string, attempt: string, reply: (outcome: BookingOutcome) => void): void {
+		const {simulator, plainServers, mutation} = this.#context;
 		let isSettled = false;
-		const finish = (told: BookingOutcome) => {
+		const finish = (outcome: BookingOutcome) => {
 			if (!isSettled) {
 				isSettled = true;
-				this.#settle(key, attempt, told, () => {
-					reply(told);
+				this.#settle(key, attempt, outcome, () => {
+					reply(outcome);
 				});
 			}
 		};
 
 		const send = () => {
-			const plain = pick(plains, simulator.random)!;
-			if (!plain.process.isAlive) {
+			const plainServer = pick(plainServers, simulator.random)!;
+			if (!plainServer.process.isAlive) {
 				finish({type: 'not-run'});
 				return;
 			}
 
-			simulator.send(this.process, plain.process, () => {
-				plain.runBooking(key, attempt, booking => {
-					simulator.send(plain.process, this.process, () => {
+			simulator.send(this.process, plainServer.process, () => {
+				plainServer.runBooking(key, attempt, booking => {
+					simulator.send(plainServer.process, this.process, () => {
 						finish({type: 'done', booking});
 					});
 				});
@@ -298,18 +299,18 @@
 		};
 
 		send();
-		simulator.scheduleOn(this.process, PLAIN_TIMEOUT_MS, () => {
+		simulator.scheduleOn(this.process, PLAIN_SERVER_TIMEOUT_MS, () => {
 			if (mutation === 'retry-non-repeatable' && !isSettled) {
 				send();
 			}
 		});
-		simulator.scheduleOn(this.process, PLAIN_TIMEOUT_MS * 2, () => {
+		simulator.scheduleOn(this.process, PLAIN_SERVER_TIMEOUT_MS * 2, () => {
 			finish({type: 'unknown'});
 		});
 	}
 
-	#settle(key: string, attempt: string, told: BookingOutcome, reply: () => void = () => undefined): void {
-		const answer = told.type === 'done' ? {answer: {status: 200, contentType: 'text/plain', body: new TextEncoder().encode(told.booking)}} : {};
+	#settle(key: string, attempt: string, outcome: BookingOutcome, reply: () => void = () => undefined): void {
+		const answer = outcome.type === 'done' ? {answer: {status: 200, contentType: 'text/plain', body: new TextEncoder().encode(outcome.booking)}} : {};
 		let isReplied = false;
 		const once = () => {
 			if (!isReplied) {
@@ -319,62 +320,62 @@
 		};
 
 		this.propose({
-			type: 'settle', at: Math.floor(this.#context.simulator.nowMs), key, attempt, outcome: told.type, ...answer,
+			type: 'settle', at: Math.floor(this.#context.simulator.nowMs), key, attempt, outcome: outcome.type, ...answer,
 		}, SETTLE_DEADLINE_MS, once);
-		// The caller waits for the ledger only for a while.
+		// The caller waits for the ledger for a limited time only.
 		this.#context.simulator.scheduleOn(this.process, 2000, once);
 	}
 
-	/** Asks control hosts in turn until one answers or the deadline has passed. */
-	#ask<Answer>(deadlineMs: number, question: (control: ControlProcess, answer: ReplyCallback<Answer>) => void, reply: (answer: Answer | undefined) => void): void {
+	/** Asks the last known leader or a random control host until one responds or the deadline passes. */
+	#askControl<Result>(deadlineMs: number, request: (control: ControlProcess, respond: ReplyCallback<Result>) => void, reply: (response: Result | undefined) => void): void {
 		const {simulator, controls} = this.#context;
 		const untilMs = simulator.nowMs + deadlineMs;
-		const turn = () => {
+		const tryNext = () => {
 			if (simulator.nowMs >= untilMs) {
 				reply(undefined);
 				return;
 			}
 
 			const control = controls.get(this.#leader ?? '') ?? pick([...controls.values()], simulator.random)!;
-			let isAnswered = false;
-			const onAnswer = (answer: Either.Either<string, Answer> | undefined) => {
-				if (isAnswered) {
+			let hasResponse = false;
+			const onResponse = (response: Either.Either<string, Result> | undefined) => {
+				if (hasResponse) {
 					return;
 				}
 
-				isAnswered = true;
-				if (answer && Either.isRight(answer)) {
+				hasResponse = true;
+				if (response && Either.isRight(response)) {
 					this.#leader = control.host;
-					reply(answer.right);
+					reply(response.right);
 					return;
 				}
 
 				this.#leader = undefined;
-				simulator.scheduleOn(this.process, RETRY_MS, turn);
+				simulator.scheduleOn(this.process, RETRY_DELAY_MS, tryNext);
 			};
 
 			simulator.send(this.process, control.process, () => {
-				question(control, answer => {
+				request(control, response => {
 					simulator.send(control.process, this.process, () => {
-						onAnswer(answer);
+						onResponse(response);
 					});
 				});
 			});
-			simulator.scheduleOn(this.process, ANSWER_TIMEOUT_MS, () => {
-				onAnswer(undefined);
+			simulator.scheduleOn(this.process, RESPONSE_TIMEOUT_MS, () => {
+				onResponse(undefined);
 			});
 		};
 
-		turn();
+		tryNext();
 	}
 }
 
-/** Applies an older update as if it were whole and new. */
+/** Replaces the content of a view with an older update, as if the update were complete and newer. */
 function replaceView(view: View, update: ViewUpdate): boolean {
-	const fresh = new View();
-	fresh.apply({...update, from: -1});
-	Object.defineProperty(view, 'version', {get: () => fresh.version, configurable: true});
-	view.list = fresh.list.bind(fresh);
-	view.findExclusion = fresh.findExclusion.bind(fresh);
+	const replacement = new View();
+	replacement.apply({...update, from: -1});
+	Object.defineProperty(view, 'version', {get: () => replacement.version, configurable: true});
+	view.list = replacement.list.bind(replacement);
+	view.findExclusion = replacement.findExclusion.bind(replacement);
 	return true;
 }
--- a/dev/fuzz/invariants.ts
+++ b/dev/fuzz/invariants.ts
@@ -1,5 +1,5 @@
 /**
- * What must always hold, checked after every step of the fuzzer.
+ * Invariants that the fuzzer checks after every step of a run.
  *
  * @module
  */
@@ -12,38 +12,41 @@
 import type {ControlProcess} from './control.js';
 import type {Mutation} from './mutations.js';
 
-/** What a caller was told about work that may not be repeated. */
+/** What a caller was told about a non-repeatable request. */
 export type BookingOutcome
 	= | {readonly type: 'done'; readonly booking: string}
 		| {readonly type: 'not-run'}
 		| {readonly type: 'unknown'};
 
-type Committed = {
+type CommittedEntry = {
 	readonly term: number;
 	readonly hash: string;
 };
 
-/** Collects what the processes do and finds what must not be. */
+/** Records what the simulated processes do and reports violated invariants. */
 export class InvariantChecker {
 	readonly violations: string[] = [];
 	readonly initialConfiguration: Configuration;
-	/** The state as the committed log makes it, each entry applied once. */
+	/** The state after applying each committed log entry exactly once. */
 	referenceState: ControlState;
 	readonly #mutation: Mutation | undefined;
 	readonly #leaders = new Map<number, string>();
-	readonly #committed = new Map<number, Committed>();
-	readonly #digests = new Map<number, string>();
+	readonly #committed = new Map<number, CommittedEntry>();
+	/** Resources of the reference state by view version. */
+	readonly #resourcesByVersion = new Map<number, string>();
 	readonly #runsByKey = new Map<string, string[]>();
 	readonly #notRunAttempts = new Set<string>();
-	readonly #answersByKey = new Map<string, string>();
-	readonly #accepted = new Map<string, string>();
-	readonly #outcomes = new Map<string, string>();
-	readonly #inForce = new Map<string, number>();
-	readonly #executed = new Map<string, number>();
+	readonly #responsesByKey = new Map<string, string>();
+	/** The put request that was accepted for each resource and the version that its sender had seen. */
+	readonly #acceptedPuts = new Map<string, string>();
+	readonly #putOutcomes = new Map<string, string>();
+	readonly #viewVersions = new Map<string, number>();
+	readonly #highestExecutedOrders = new Map<string, number>();
 	readonly #sentOrders = new Map<string, number>();
-	readonly #waiting = new Map<number, Entry>();
+	/** Committed entries that the reference state has not applied because an earlier one is missing. */
+	readonly #pendingEntries = new Map<number, Entry>();
 	#referenceIndex = 0;
-	#acceptedVersion = 0;
+	#highestAcceptedVersion = 0;
 
 	constructor(initialConfiguration: Configuration, mutation: Mutation | undefined) {
 		this.initialConfiguration = initialConfiguration;
@@ -55,9 +58,9 @@
 		return this.#runsByKey.size;
 	}
 
-	/** The highest version that an operator was told. */
+	/** The highest accepted version that an operator has received in an outcome. */
 	get highestAcceptedVersion(): number {
-		return this.#acceptedVersion;
+		return this.#highestAcceptedVersion;
 	}
 
 	get sentOrderCount(): number {
@@ -69,9 +72,9 @@
 	}
 
 	recordLeader(term: number, identity: string): void {
-		const known = this.#leaders.get(term);
-		if (known !== undefined && known !== identity) {
-			this.reportViolation(`two leaders in term ${term}: ${known} and ${identity}`);
+		const knownLeader = this.#leaders.get(term);
+		if (knownLeader !== undefined && knownLeader !== identity) {
+			this.reportViolation(`two leaders in term ${term}: ${knownLeader} and ${identity}`);
 		}
 
 		this.#leaders.set(term, identity);
@@ -87,7 +90,7 @@
 
 		this.#committed.set(entry.index, {term: entry.term, hash});
 		if (!known) {
-			this.#waiting.set(entry.index, entry);
+			this.#pendingEntries.set(entry.index, entry);
 			this.#advanceReference();
 		}
 	}
@@ -99,24 +102,24 @@
 		}
 	}
 
-	/** Compares the replicas that may act as leader now. */
+	/** Checks that at most one replica holds the leader lease. */
 	checkSingleLeaseHolder(controls: Iterable<ControlProcess>): void {
 		const holders = [...controls].filter(control => control.holdsLeaderLease);
 		if (holders.length > 1) {
-			this.reportViolation(`${holders.map(control => control.identity).join(' and ')} hold authority at once`);
+			this.reportViolation(`${holders.map(control => control.identity).join(' and ')} hold the leader lease at the same time`);
 		}
 	}
 
 	recordView(host: string, version: number, resources: readonly Resource[]): void {
-		const before = this.#inForce.get(host) ?? -1;
-		if (version < before) {
-			this.reportViolation(`configuration at ${host} goes back from ${before} to ${version}`);
+		const previousVersion = this.#viewVersions.get(host) ?? -1;
+		if (version < previousVersion) {
+			this.reportViolation(`resource view of ${host} goes back from version ${previousVersion} to ${version}`);
 		}
 
-		this.#inForce.set(host, version);
-		const expected = this.#digests.get(version);
+		this.#viewVersions.set(host, version);
+		const expected = this.#resourcesByVersion.get(version);
 		if (version > 0 && expected !== undefined && expected !== describeResources(resources)) {
-			this.reportViolation(`${host} holds another configuration ${version} than was accepted`);
+			this.reportViolation(`resource view ${version} of ${host} differs from the committed one`);
 		}
 	}
 
@@ -129,58 +132,59 @@
 		}
 
 		if (this.#notRunAttempts.has(attempt)) {
-			this.reportViolation(`${key} runs as ${attempt}, of which a caller was told that it did not run`);
+			this.reportViolation(`${key} runs as ${attempt} after a caller was told that this attempt did not run`);
 		}
 	}
 
-	recordBookingOutcome(key: string, attempt: string, told: BookingOutcome): void {
-		if (told.type === 'not-run') {
+	recordBookingOutcome(key: string, attempt: string, outcome: BookingOutcome): void {
+		if (outcome.type === 'not-run') {
 			this.#notRunAttempts.add(attempt);
 			if (this.#runsByKey.get(key)?.includes(attempt)) {
-				this.reportViolation(`a caller is told that ${key} did not run as ${attempt}, but it did`);
+				this.reportViolation(`a caller is told that ${key} did not run as ${attempt}, but it did run`);
 			}
 		}
 
-		if (told.type === 'done') {
-			const known = this.#answersByKey.get(key);
-			if (known !== undefined && known !== told.booking) {
-				this.reportViolation(`${key} is answered with ${told.booking}, before with ${known}`);
+		if (outcome.type === 'done') {
+			const knownResponse = this.#responsesByKey.get(key);
+			if (knownResponse !== undefined && knownResponse !== outcome.booking) {
+				this.reportViolation(`${key} gets response ${outcome.booking}, earlier it got ${knownResponse}`);
 			}
 
-			this.#answersByKey.set(key, told.booking);
-			if (!told.booking.startsWith(key)) {
-				this.reportViolation(`${key} gets the answer of another request: ${told.booking}`);
+			this.#responsesByKey.set(key, outcome.booking);
+			if (!outcome.booking.startsWith(key)) {
+				this.reportViolation(`${key} gets the response of another request: ${outcome.booking}`);
 			}
 		}
 	}
 
-	recordRead(host: string, version: number, floor: number): void {
-		if (version < floor) {
-			this.reportViolation(`a read through ${host} shows configuration ${version}, though ${floor} was accepted before it began`);
+	/** Checks that a read returned at least the version that was accepted before the read began. */
+	recordRead(host: string, version: number, minimumVersion: number): void {
+		if (version < minimumVersion) {
+			this.reportViolation(`stale read through ${host}: version ${version}, but version ${minimumVersion} was accepted before the read began`);
 		}
 	}
 
-	/** Notes what an operator was told. */
+	/** Records the outcome of a put that an operator received. */
 	recordPut(requestId: string, name: string, seen: number, outcome: Outcome): void {
 		const text = JSON.stringify(outcome);
-		const known = this.#outcomes.get(requestId);
-		if (known !== undefined && known !== text) {
-			this.reportViolation(`request ${requestId} is answered ${text}, before ${known}`);
+		const knownOutcome = this.#putOutcomes.get(requestId);
+		if (knownOutcome !== undefined && knownOutcome !== text) {
+			this.reportViolation(`request ${requestId} gets outcome ${text}, earlier it got ${knownOutcome}`);
 		}
 
-		this.#outcomes.set(requestId, text);
+		this.#putOutcomes.set(requestId, text);
 		if (outcome.type === 'accepted') {
-			this.#acceptedVersion = Math.max(this.#acceptedVersion, outcome.version);
+			this.#highestAcceptedVersion = Math.max(this.#highestAcceptedVersion, outcome.version);
 		}
 
 		if (outcome.type === 'accepted' && seen >= 0) {
 			const key = `${name}@${seen}`;
-			const winner = this.#accepted.get(key);
-			if (winner !== undefined && winner !== requestId) {
-				this.reportViolation(`both ${winner} and ${requestId} are accepted on ${key}`);
+			const acceptedRequest = this.#acceptedPuts.get(key);
+			if (acceptedRequest !== undefined && acceptedRequest !== requestId) {
+				this.reportViolation(`both ${acceptedRequest} and ${requestId} are accepted for ${key}`);
 			}
 
-			this.#accepted.set(key, requestId);
+			this.#acceptedPuts.set(key, requestId);
 		}
 	}
 
@@ -188,42 +192,44 @@
 		this.#sentOrders.set(`${server}/${order}`, order);
 	}
 
-	/** Highest order that a server has carried out; 0 if none. */
+	/** Returns the highest order that a server has executed; 0 if none. */
 	findHighestExecutedOrder(server: string): number {
-		return this.#executed.get(server) ?? 0;
+		return this.#highestExecutedOrders.get(server) ?? 0;
 	}
 
 	recordOrderExecuted(server: string, order: number): void {
-		const highest = this.#executed.get(server) ?? 0;
+		const highest = this.#highestExecutedOrders.get(server) ?? 0;
 		if (order < highest) {
-			this.reportViolation(`${server} carries out order ${order} after order ${highest}`);
+			this.reportViolation(`${server} executes order ${order} after order ${highest}`);
 		}
 
-		this.#executed.set(server, Math.max(order, highest));
+		this.#highestExecutedOrders.set(server, Math.max(order, highest));
 	}
 
+	/** Reports a request that an order has interrupted although its host held a view lease. */
 	recordInterruptedRequest(server: string, request: string): void {
-		this.reportViolation(`the order at ${server} cuts request ${request}`);
+		this.reportViolation(`an order interrupts request ${request} at ${server}`);
 	}
 
 	reportViolation(text: string): void {
 		this.violations.push(text);
 	}
 
+	/** Applies all committed entries that follow the reference state without a gap. */
 	#advanceReference(): void {
 		for (;;) {
-			const entry = this.#waiting.get(this.#referenceIndex + 1);
+			const entry = this.#pendingEntries.get(this.#referenceIndex + 1);
 			if (!entry) {
 				return;
 			}
 
-			this.#waiting.delete(entry.index);
+			this.#pendingEntries.delete(entry.index);
 			this.#referenceIndex = entry.index;
 			if (entry.type === 'command') {
 				const command = decodeValue(entry.data) as Command;
-				const isJudgedAnew = this.#mutation === 'no-request-memory' && command.type === 'put';
-				this.referenceState.apply(isJudgedAnew ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
-				this.#digests.set(this.referenceState.viewVersion, describeResources(this.referenceState.listResources()));
+				const isEvaluatedAgain = this.#mutation === 'no-request-memory' && command.type === 'put';
+				this.referenceState.apply(isEvaluatedAgain ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
+				this.#resourcesByVersion.set(this.referenceState.viewVersion, describeResources(this.referenceState.listResources()));
 			} else {
 				this.referenceState.skip(entry.index);
 			}
--- a/dev/fuzz/mutations.ts
+++ b/dev/fuzz/mutations.ts
@@ -1,5 +1,5 @@
 /**
- * Mechanisms that the fuzzer can switch off, to show that its checks notice.
+ * Mutations of the fuzzer: each one disables a safeguard, to show that the invariants detect its absence.
  *
  * @module
  */
--- a/dev/fuzz/run.ts
+++ b/dev/fuzz/run.ts
@@ -1,5 +1,6 @@
 /**
- * One run of the fuzzer: a small fleet, a random schedule of work and faults, then healing.
+ * One run of the fuzzer: a small simulated fleet that executes a random schedule of work and faults, followed by a
+ * recovery phase without faults.
  *
  * @module
  */
@@ -28,14 +29,15 @@
 	readonly trace: readonly string[];
 };
 
-/** Short waits let orders follow each other closely. */
-const QUICK_TIMING: ControllerTiming = {
+/** Controller timing with short waits, so that orders follow each other closely. */
+const SHORT_TIMING: ControllerTiming = {
 	...DEFAULT_CONTROLLER_TIMING, orderTransitMs: 200, orderRetryMs: 200, claimGraceMs: 1000,
 };
-const TROUBLE_MS = 12_000;
-const HEALING_MS = 19_000;
-const LONGEST_PAUSE_MS = 9000;
-const LIVENESS_GRACE_MS = 17_000;
+const FAULT_PHASE_MS = 12_000;
+const RECOVERY_MS = 19_000;
+const MAX_PAUSE_MS = 9000;
+/** New work stops this long before the end of the recovery phase, so that running work can finish. */
+const WORK_DRAIN_MS = 17_000;
 
 /**
  * Runs one schedule.
@@ -50,26 +52,26 @@
 	return run.execute();
 }
 
-/** What a run is like: some fault kinds are more frequent in some runs. */
-type Temper = {
+/** Size of the fleet and frequency of each kind of fault in a run; drawn at random for each run. */
+type FaultProfile = {
 	readonly controls: number;
 	readonly faultEveryMs: number;
-	readonly kills: number;
-	readonly wipes: number;
-	readonly pauses: number;
-	readonly cuts: number;
-	readonly storms: number;
-	readonly handOvers: number;
+	readonly killWeight: number;
+	readonly wipeWeight: number;
+	readonly pauseWeight: number;
+	readonly partitionWeight: number;
+	readonly degradationWeight: number;
+	readonly transferWeight: number;
 	readonly entriesPerAppend: number;
-	/** Share of new leaders that are killed right away. */
-	readonly coups: number;
-	/** Share of new leaders that reach only a few others from the start. */
-	readonly isolations: number;
-	/** Share of looks at an open order that find its leader about to be paused for long. */
-	readonly orderPauses: number;
+	/** Probability that a new leader is killed right after its election. */
+	readonly leaderKillProbability: number;
+	/** Probability that a new leader can reach only a minority of the others from its election on. */
+	readonly leaderIsolationProbability: number;
+	/** Probability of a long pause of the leader each time it is found with an open order or sends one. */
+	readonly orderPauseProbability: number;
 	readonly timing: ControllerTiming;
-	/** Longest delay of a message in a storm, milliseconds. */
-	readonly stormDelayMs: number;
+	/** Longest delay of a message while the network is degraded, milliseconds. */
+	readonly degradedMaxDelayMs: number;
 };
 
 class Run {
@@ -77,35 +79,36 @@
 	readonly #random: Random;
 	readonly #simulator: Simulator;
 	readonly #checker: InvariantChecker;
-	readonly #temper: Temper;
+	readonly #profile: FaultProfile;
 	readonly #controls = new Map<string, ControlProcess>();
 	readonly #engines = new Map<string, EngineProcess>();
-	readonly #plains: PlainServerProcess[] = [];
+	readonly #plainServers: PlainServerProcess[] = [];
 	readonly #entries: EntryProcess[] = [];
-	readonly #unanswered = new Set<string>();
-	/** Leaders that have been cut off since their election. */
-	readonly #isolated = new Set<ControlProcess>();
+	/** Idempotency keys of bookings whose callers have no definite response. */
+	readonly #unansweredKeys = new Set<string>();
+	/** Leaders that have been partitioned from a majority since their election. */
+	readonly #isolatedLeaders = new Set<ControlProcess>();
 	#nextKey = 1;
 	#nextPut = 1;
 	#nextModel = 1;
-	#isHealed = false;
+	#isRecovering = false;
 
 	constructor(seed: number, mutation: Mutation | undefined) {
 		this.#seed = seed;
 		this.#random = createRandom((seed * 7919) + 13);
 		this.#simulator = new Simulator(this.#random);
-		this.#temper = this.#drawTemper();
-		const configuration = createConfiguration(this.#temper.controls);
+		this.#profile = this.#drawFaultProfile();
+		const configuration = createConfiguration(this.#profile.controls);
 		this.#checker = new InvariantChecker(configuration, mutation);
 		const context = {
-			simulator: this.#simulator, checker: this.#checker, mutation, controls: this.#controls, engines: this.#engines, plains: this.#plains, maxEntriesPerAppend: this.#temper.entriesPerAppend, timing: this.#temper.timing, onLeader: (control: ControlProcess) => {
+			simulator: this.#simulator, checker: this.#checker, mutation, controls: this.#controls, engines: this.#engines, plainServers: this.#plainServers, maxEntriesPerAppend: this.#profile.entriesPerAppend, timing: this.#profile.timing, onLeader: (control: ControlProcess) => {
 				this.#onLeader(control);
 			},
 			onCommit: (control: ControlProcess) => {
-				this.#killAtCommit(control);
+				this.#killIsolatedLeader(control);
 			},
 			onOrderAbsent: (control: ControlProcess, server: string, order: number) => {
-				this.#pauseBeforeOrder(control, server, order);
+				this.#pauseLeaderBeforeOrder(control, server, order);
 			},
 		};
 		this.#startProcesses(context, configuration);
@@ -118,17 +121,17 @@
 		const check = () => {
 			this.#checker.checkSingleLeaseHolder(this.#controls.values());
 			if (this.#checker.violations.length > 0) {
-				throw new Stop();
+				throw new ViolationFound();
 			}
 		};
 
 		try {
-			simulator.runUntil(TROUBLE_MS, check);
-			this.#heal();
-			simulator.runUntil(TROUBLE_MS + HEALING_MS, check);
+			simulator.runUntil(FAULT_PHASE_MS, check);
+			this.#startRecovery();
+			simulator.runUntil(FAULT_PHASE_MS + RECOVERY_MS, check);
 			this.#checkLiveness();
 		} catch (error) {
-			if (!(error instanceof Stop)) {
+			if (!(error instanceof ViolationFound)) {
 				throw error;
 			}
 		}
@@ -145,37 +148,37 @@
 		};
 	}
 
-	#drawTemper(): Temper {
-		const draw = (most: number) => Math.floor(this.#random() * (most + 1));
-		// In some runs little happens beside orders and long pauses of the leader that has one open.
+	#drawFaultProfile(): FaultProfile {
+		const draw = (max: number) => Math.floor(this.#random() * (max + 1));
+		// These runs have few other faults than long pauses of a leader with an open order.
 		const isOrderRun = this.#random() < 0.25;
-		// In some runs leaders follow each other quickly, with entries of many terms on few replicas each.
-		const isDuelRun = !isOrderRun && this.#random() < 0.25;
+		// In these runs leaders change quickly, which leaves entries of many terms on a few replicas each.
+		const isElectionRun = !isOrderRun && this.#random() < 0.25;
 		return {
-			controls: this.#random() < 0.6 && !isDuelRun ? 3 : 5,
+			controls: this.#random() < 0.6 && !isElectionRun ? 3 : 5,
 			faultEveryMs: (isOrderRun ? 3000 : 150) + draw(900),
-			kills: draw(4),
-			wipes: draw(2),
-			pauses: draw(3),
-			cuts: draw(4),
-			storms: draw(2),
-			handOvers: draw(2),
-			coups: this.#random() < 0.3 ? this.#random() * 0.8 : 0,
-			isolations: isDuelRun ? 0.8 : 0,
-			orderPauses: isOrderRun ? 0.3 : 0,
-			timing: this.#random() < 0.5 && !isOrderRun ? DEFAULT_CONTROLLER_TIMING : QUICK_TIMING,
-			entriesPerAppend: isDuelRun ? 1 : (this.#random() < 0.5 ? 1 + draw(3) : 512),
-			stormDelayMs: this.#random() < 0.3 ? 1500 : 250,
+			killWeight: draw(4),
+			wipeWeight: draw(2),
+			pauseWeight: draw(3),
+			partitionWeight: draw(4),
+			degradationWeight: draw(2),
+			transferWeight: draw(2),
+			leaderKillProbability: this.#random() < 0.3 ? this.#random() * 0.8 : 0,
+			leaderIsolationProbability: isElectionRun ? 0.8 : 0,
+			orderPauseProbability: isOrderRun ? 0.3 : 0,
+			timing: this.#random() < 0.5 && !isOrderRun ? DEFAULT_CONTROLLER_TIMING : SHORT_TIMING,
+			entriesPerAppend: isElectionRun ? 1 : (this.#random() < 0.5 ? 1 + draw(3) : 512),
+			degradedMaxDelayMs: this.#random() < 0.3 ? 1500 : 250,
 		};
 	}
 
-	#startProcesses(context: ControlContext & {plains: readonly PlainServerProcess[]}, configuration: Configuration): void {
+	#startProcesses(context: ControlContext & {plainServers: readonly PlainServerProcess[]}, configuration: Configuration): void {
 		for (const member of configuration.voters) {
 			new ControlProcess(context, member.host, configuration); // eslint-disable-line no-new
 		}
 
 		for (const name of ['plain1', 'plain2']) {
-			this.#plains.push(new PlainServerProcess(name, this.#simulator, this.#checker));
+			this.#plainServers.push(new PlainServerProcess(name, this.#simulator, this.#checker));
 		}
 
 		for (const host of ['entry1', 'entry2']) {
@@ -209,46 +212,47 @@
 	}
 
 	#scheduleWork(): void {
-		this.#every(120, () => {
-			this.#bookSomething();
+		this.#repeat(120, () => {
+			this.#submitBooking();
 		});
-		this.#every(90, () => {
-			this.#runModel();
+		this.#repeat(90, () => {
+			this.#sendModelRequest();
 		});
-		this.#every(200, () => {
-			this.#raceOperators();
+		this.#repeat(200, () => {
+			this.#submitConflictingPuts();
 		});
-		this.#every(400, () => {
-			this.#declareChange();
+		this.#repeat(400, () => {
+			this.#submitChange();
 		});
-		this.#every(500, () => {
+		this.#repeat(500, () => {
 			this.#deleteFinishedChanges();
 		});
-		this.#every(500, () => {
-			this.#repairReplicas();
+		this.#repeat(500, () => {
+			this.#replaceWipedReplicas();
 		});
-		this.#every(25, () => {
-			this.#readState();
+		this.#repeat(25, () => {
+			this.#readConfiguration();
 		});
-		this.#every(100, () => {
-			this.#pauseDuringOrder();
+		this.#repeat(100, () => {
+			this.#pauseLeaderDuringOrder();
 		});
 	}
 
-	#every(meanMs: number, work: () => void): void {
-		const again = () => {
-			if (this.#simulator.nowMs < TROUBLE_MS + (HEALING_MS - LIVENESS_GRACE_MS)) {
-				work();
-				this.#simulator.schedule(meanMs * (0.4 + (this.#random() * 1.2)), again);
+	/** Calls a function at random intervals until new work stops. */
+	#repeat(meanMs: number, submit: () => void): void {
+		const runAndReschedule = () => {
+			if (this.#simulator.nowMs < FAULT_PHASE_MS + (RECOVERY_MS - WORK_DRAIN_MS)) {
+				submit();
+				this.#simulator.schedule(meanMs * (0.4 + (this.#random() * 1.2)), runAndReschedule);
 			}
 		};
 
-		this.#simulator.schedule(meanMs * this.#random(), again);
+		this.#simulator.schedule(meanMs * this.#random(), runAndReschedule);
 	}
 
-	#bookSomething(): void {
+	#submitBooking(): void {
 		const key = `key${this.#nextKey++}`;
-		this.#unanswered.add(key);
+		this.#unansweredKeys.add(key);
 		this.#sendBooking(key);
 		if (this.#random() < 0.4) {
 			this.#simulator.schedule(this.#random() * 400, () => {
@@ -257,43 +261,43 @@
 		}
 	}
 
-	/** A caller sends a booking, and sends it again through any host when no answer or no certainty comes. */
+	/** Sends a booking as a caller, and sends it again through any host after a timeout or if it did not run. */
 	#sendBooking(key: string): void {
-		const entry = pick(this.#entries.filter(one => one.isReady), this.#random);
-		let isAnswered = false;
-		let isSentAgain = false;
-		const again = () => {
-			if (this.#unanswered.has(key) && !isSentAgain) {
-				isSentAgain = true;
+		const entry = pick(this.#entries.filter(host => host.isReady), this.#random);
+		let hasResponse = false;
+		let isRetried = false;
+		const retry = () => {
+			if (this.#unansweredKeys.has(key) && !isRetried) {
+				isRetried = true;
 				this.#sendBooking(key);
 			}
 		};
 
-		entry?.bookSeat(key, told => {
-			isAnswered = true;
-			if (told.type === 'not-run') {
-				this.#simulator.schedule(200, again);
+		entry?.bookSeat(key, outcome => {
+			hasResponse = true;
+			if (outcome.type === 'not-run') {
+				this.#simulator.schedule(200, retry);
 			} else {
-				this.#unanswered.delete(key);
+				this.#unansweredKeys.delete(key);
 			}
 		});
 		this.#simulator.schedule(entry ? 2500 : 200, () => {
-			if (!isAnswered) {
-				again();
+			if (!hasResponse) {
+				retry();
 			}
 		});
 	}
 
-	#readState(): void {
-		pick(this.#entries.filter(entry => entry.isReady), this.#random)?.readConfiguration();
+	#readConfiguration(): void {
+		pick(this.#entries.filter(host => host.isReady), this.#random)?.readConfiguration();
 	}
 
-	/** A leader is paused while an order of its is open: the hardest moment for engines that check no fences. */
-	#pauseDuringOrder(): void {
+	/** Pauses a leader that has an open order for an engine without fencing, where a late order does the most harm. */
+	#pauseLeaderDuringOrder(): void {
 		const leader = [...this.#controls.values()].find(control => control.isLeader && !control.process.isPaused);
 		const isOpen = leader?.state.listOpenOrders().some(order => order.server.startsWith('unfenced')) ?? false;
-		if (leader && isOpen && !this.#isHealed && !this.#isControlPaused() && this.#random() < this.#temper.orderPauses) {
-			this.#fault('pause', `${leader.host} during an order`);
+		if (leader && isOpen && !this.#isRecovering && !this.#isControlPaused() && this.#random() < this.#profile.orderPauseProbability) {
+			this.#recordFault('pause', `${leader.host} during an order`);
 			this.#simulator.pause(leader.process);
 			this.#simulator.schedule(4500 + (this.#random() * 4000), () => {
 				this.#simulator.resume(leader.process);
@@ -301,103 +305,103 @@
 		}
 	}
 
-	/** While one control host is paused its successor is left to work. */
+	/** Whether a control host is paused; the others are not paused for orders meanwhile, so that one can take over. */
 	#isControlPaused(): boolean {
 		return [...this.#controls.values()].some(({process}) => process.isPaused);
 	}
 
-	/** A leader is paused right before it sends an order, until its successor has had another one carried out there. */
-	#pauseBeforeOrder({process, host}: ControlProcess, server: string, order: number): void {
-		const isHardest = server.startsWith('unfenced') && !this.#isHealed && !this.#isControlPaused();
-		if (!isHardest || this.#random() >= this.#temper.orderPauses) {
+	/** Pauses a leader right before it sends an order, until the server has executed a later order of the next leader. */
+	#pauseLeaderBeforeOrder({process, host}: ControlProcess, server: string, order: number): void {
+		const isEligible = server.startsWith('unfenced') && !this.#isRecovering && !this.#isControlPaused();
+		if (!isEligible || this.#random() >= this.#profile.orderPauseProbability) {
 			return;
 		}
 
-		this.#fault('pause', `${host} before order ${order} to ${server}`);
+		this.#recordFault('pause', `${host} before order ${order} to ${server}`);
 		this.#simulator.pause(process);
-		const untilMs = this.#simulator.nowMs + LONGEST_PAUSE_MS;
-		const look = () => {
-			if (this.#checker.findHighestExecutedOrder(server) > order || this.#simulator.nowMs > untilMs || this.#isHealed) {
+		const untilMs = this.#simulator.nowMs + MAX_PAUSE_MS;
+		const resumeWhenSuperseded = () => {
+			if (this.#checker.findHighestExecutedOrder(server) > order || this.#simulator.nowMs > untilMs || this.#isRecovering) {
 				this.#simulator.resume(process);
 				return;
 			}
 
-			this.#simulator.schedule(20 + (this.#random() * 100), look);
+			this.#simulator.schedule(20 + (this.#random() * 100), resumeWhenSuperseded);
 		};
 
-		look();
+		resumeWhenSuperseded();
 	}
 
 	/**
-	 * Some leaders reach only a few others from the moment of their election, and die or are reached again a moment
-	 * later: entries of many terms come to lie on few replicas each.
+	 * Partitions a new leader from all but a minority of the others, and later ends the partition or kills the leader.
+	 * This leaves entries of many terms on a few replicas each.
 	 */
 	#isolateLeader(control: ControlProcess): void {
 		const others = [...this.#controls.values()].filter(other => other !== control);
-		const reached = Math.floor(this.#random() * ((others.length / 2) + 1));
-		const left = shuffle(others, this.#random).slice(reached);
-		this.#fault('cut', `${control.host}, just elected, from ${left.map(({host}) => host).join(' ')}`);
-		for (const {host} of left) {
+		const reachableCount = Math.floor(this.#random() * ((others.length / 2) + 1));
+		const unreachable = shuffle(others, this.#random).slice(reachableCount);
+		this.#recordFault('cut', `${control.host}, just elected, from ${unreachable.map(({host}) => host).join(' ')}`);
+		for (const {host} of unreachable) {
 			this.#simulator.blockLink(control.host, host);
 			this.#simulator.blockLink(host, control.host);
 		}
 
-		this.#isolated.add(control);
+		this.#isolatedLeaders.add(control);
 		this.#simulator.schedule(10 + (this.#random() * 200), () => {
 			this.#simulator.unblockLinks();
-			if (this.#isolated.delete(control) && control.process.isAlive && this.#random() < 0.7) {
-				this.#killForAMoment(control, 'cut off since its election');
+			if (this.#isolatedLeaders.delete(control) && control.process.isAlive && this.#random() < 0.7) {
+				this.#killAndRestart(control, 'isolated since its election');
 			}
 		});
 	}
 
-	/** A leader that reaches few others dies at the moment of its first commit. */
-	#killAtCommit(control: ControlProcess): void {
-		if (this.#isolated.has(control) && control.isLeader && !this.#isHealed) {
-			this.#isolated.delete(control);
-			this.#killForAMoment(control, 'at its first commit');
+	/** Kills an isolated leader at its first commit. */
+	#killIsolatedLeader(control: ControlProcess): void {
+		if (this.#isolatedLeaders.has(control) && control.isLeader && !this.#isRecovering) {
+			this.#isolatedLeaders.delete(control);
+			this.#killAndRestart(control, 'at its first commit');
 		}
 	}
 
-	#killForAMoment(control: ControlProcess, detail: string): void {
-		this.#fault('kill', `${control.host}, ${detail}`);
+	#killAndRestart(control: ControlProcess, detail: string): void {
+		this.#recordFault('kill', `${control.host}, ${detail}`);
 		control.kill({wipe: false});
 		this.#simulator.schedule(50 + (this.#random() * 1500), () => {
 			control.restart();
 		});
 	}
 
-	/** Some leaders die before anybody has heard of them. */
+	/** Isolates some new leaders and kills others before the other hosts learn of them. */
 	#onLeader(control: ControlProcess): void {
-		if (!this.#isHealed && this.#random() < this.#temper.isolations) {
+		if (!this.#isRecovering && this.#random() < this.#profile.leaderIsolationProbability) {
 			this.#isolateLeader(control);
 			return;
 		}
 
-		if (!this.#isHealed && this.#random() < this.#temper.coups) {
+		if (!this.#isRecovering && this.#random() < this.#profile.leaderKillProbability) {
 			this.#simulator.schedule(this.#random() * 25, () => {
 				if (control.process.isAlive) {
-					this.#killForAMoment(control, 'just elected');
+					this.#killAndRestart(control, 'just elected');
 				}
 			});
 		}
 	}
 
-	#runModel(): void {
-		pick(this.#entries.filter(entry => entry.isReady), this.#random)?.sendModelRequest(`model${this.#nextModel++}`);
+	#sendModelRequest(): void {
+		pick(this.#entries.filter(host => host.isReady), this.#random)?.sendModelRequest(`model${this.#nextModel++}`);
 	}
 
-	/** Two operators see the same version and both write; one of them sends again after a lost answer. */
-	#raceOperators(): void {
+	/** Writes a resource twice with the same expected version, as two operators do; some writes are sent again. */
+	#submitConflictingPuts(): void {
 		const name = `team${1 + Math.floor(this.#random() * 2)}`;
-		const entry = pick(this.#entries.filter(one => one.isReady), this.#random);
+		const entry = pick(this.#entries.filter(host => host.isReady), this.#random);
 		const seen = entry?.view.get('team', name)?.version ?? 0;
-		for (let racer = 0; racer < 2; racer++) {
+		for (let operator = 0; operator < 2; operator++) {
 			const requestId = `put${this.#nextPut++}`;
 			const specification: Specification = {kind: 'team', weight: 1 + this.#nextPut};
 			const send = () => {
-				const through = pick(this.#entries.filter(one => one.isReady), this.#random);
-				through?.propose({
+				const host = pick(this.#entries.filter(host => host.isReady), this.#random);
+				host?.propose({
 					type: 'put', at: Math.floor(this.#simulator.nowMs), requestId, name, seen, specification,
 				}, 3000, outcome => {
 					this.#onPut(requestId, name, seen, outcome);
@@ -417,20 +421,20 @@
 		}
 	}
 
-	#declareChange(): void {
+	#submitChange(): void {
 		const server = pick([...this.#engines.keys()], this.#random)!;
 		const specification: Specification = this.#random() < 0.2
 			? {kind: 'change', action: 'drain', server}
 			: {
 				kind: 'change', action: 'role', server, role: this.#random() < 0.5 ? 'prefill' : 'decode',
 			};
-		pick(this.#entries.filter(one => one.isReady), this.#random)?.propose({
+		pick(this.#entries.filter(host => host.isReady), this.#random)?.propose({
 			type: 'put', at: Math.floor(this.#simulator.nowMs), requestId: `change${this.#nextPut}`, name: `change${this.#nextPut++}`, seen: 0, specification,
 		}, 3000, () => undefined);
 	}
 
 	#deleteFinishedChanges(): void {
-		const entry = pick(this.#entries.filter(one => one.isReady), this.#random);
+		const entry = pick(this.#entries.filter(host => host.isReady), this.#random);
 		for (const resource of entry?.view.list('change') ?? []) {
 			const isFinished = ['done', 'drained', 'failed'].includes(resource.status?.phase ?? '');
 			if (isFinished && this.#random() < 0.6) {
@@ -441,16 +445,16 @@
 		}
 	}
 
-	/** The operator replaces replicas that came back without their disk. */
-	#repairReplicas(): void {
+	/** Replaces, as an operator does, a replica that restarted with a wiped disk. */
+	#replaceWipedReplicas(): void {
 		const leader = [...this.#controls.values()].find(control => control.isLeader && control.replica!.isLeaderReady);
 		const {voters} = leader?.replica?.configuration ?? {voters: []};
 		for (const control of this.#controls.values()) {
 			const old = voters.find(member => member.host === control.host);
-			const isForeign = control.process.isAlive && !voters.some(member => member.replica === control.identity);
-			if (leader && isForeign) {
+			const isMissing = control.process.isAlive && !voters.some(member => member.replica === control.identity);
+			if (leader && isMissing) {
 				const add = createMember(control.host, control.identity);
-				if (leader.beginRepair(old ? {add, remove: old.replica} : {add})) {
+				if (leader.beginReconfiguration(old ? {add, remove: old.replica} : {add})) {
 					return;
 				}
 			}
@@ -458,12 +462,12 @@
 	}
 
 	#scheduleFault(): void {
-		if (this.#isHealed) {
+		if (this.#isRecovering) {
 			return;
 		}
 
-		this.#simulator.schedule(this.#temper.faultEveryMs * (0.3 + (this.#random() * 1.4)), () => {
-			if (!this.#isHealed) {
+		this.#simulator.schedule(this.#profile.faultEveryMs * (0.3 + (this.#random() * 1.4)), () => {
+			if (!this.#isRecovering) {
 				this.#injectFault();
 				if (this.#random() < 0.25) {
 					this.#injectFault();
@@ -474,43 +478,44 @@
 		});
 	}
 
+	/** Injects a fault of a random kind; each kind is listed as often as its weight in the profile. */
 	#injectFault(): void {
-		const {kills, wipes, pauses, cuts, storms, handOvers} = this.#temper;
-		const weighted = [
-			...Array.from({length: kills}, () => () => {
-				this.#killSomething();
+		const {killWeight, wipeWeight, pauseWeight, partitionWeight, degradationWeight, transferWeight} = this.#profile;
+		const faults = [
+			...Array.from({length: killWeight}, () => () => {
+				this.#killProcess();
 			}),
-			...Array.from({length: wipes}, () => () => {
-				this.#wipeControl();
+			...Array.from({length: wipeWeight}, () => () => {
+				this.#wipeControlHost();
 			}),
-			...Array.from({length: pauses}, () => () => {
-				this.#pauseSomething();
+			...Array.from({length: pauseWeight}, () => () => {
+				this.#pauseProcess();
 			}),
-			...Array.from({length: cuts}, () => () => {
-				this.#cutSomething();
+			...Array.from({length: partitionWeight}, () => () => {
+				this.#partitionProcess();
 			}),
-			...Array.from({length: storms}, () => () => {
-				this.#stormNetwork();
+			...Array.from({length: degradationWeight}, () => () => {
+				this.#degradeNetwork();
 			}),
-			...Array.from({length: handOvers}, () => () => {
-				this.#handOver();
+			...Array.from({length: transferWeight}, () => () => {
+				this.#transferLeadership();
 			}),
 		];
-		pick(weighted, this.#random)?.();
+		pick(faults, this.#random)?.();
 	}
 
-	#killSomething(): void {
-		const {process, kill, restart} = pick(this.#listKillable(), this.#random)!;
+	#killProcess(): void {
+		const {process, kill, restart} = pick(this.#listKillableProcesses(), this.#random)!;
 		if (!process.isAlive) {
 			return;
 		}
 
-		this.#fault('kill', process.name);
+		this.#recordFault('kill', process.name);
 		kill();
 		this.#simulator.schedule(50 + (this.#random() * 2500), restart);
 	}
 
-	#listKillable(): Array<{process: SimulatedProcess; kill: () => void; restart: () => void}> {
+	#listKillableProcesses(): Array<{process: SimulatedProcess; kill: () => void; restart: () => void}> {
 		const controls = [...this.#controls.values()].map(control => ({
 			process: control.process, kill() {
 				control.kill({wipe: false});
@@ -518,7 +523,7 @@
 				control.restart();
 			},
 		}));
-		const others = [...this.#engines.values(), ...this.#plains, ...this.#entries].map(one => ({
+		const others = [...this.#engines.values(), ...this.#plainServers, ...this.#entries].map(one => ({
 			process: one.process, kill() {
 				one.kill();
 			}, restart() {
@@ -528,14 +533,14 @@
 		return [...controls, ...controls, ...others];
 	}
 
-	/** A disk is lost, but not before the repair of an earlier loss is finished. */
-	#wipeControl(): void {
-		const voters = this.#findVoters();
+	/** Kills a control host and wipes its disk, unless a replica that was wiped earlier is still being replaced. */
+	#wipeControlHost(): void {
+		const voters = this.#listVoters();
 		const intact = [...this.#controls.values()].filter(control => voters.has(control.identity));
 		const control = pick(intact, this.#random);
-		const isRepairing = [...this.#controls.values()].some(one => !voters.has(one.identity) || one.repair);
-		if (control?.process.isAlive && !isRepairing && voters.size === this.#controls.size) {
-			this.#fault('wipe', control.host);
+		const isReconfiguring = [...this.#controls.values()].some(one => !voters.has(one.identity) || one.reconfiguration);
+		if (control?.process.isAlive && !isReconfiguring && voters.size === this.#controls.size) {
+			this.#recordFault('wipe', control.host);
 			control.kill({wipe: true});
 			this.#simulator.schedule(50 + (this.#random() * 1000), () => {
 				control.restart();
@@ -543,127 +548,128 @@
 		}
 	}
 
-	#findVoters(): Set<string> {
-		const configurations = [...this.#controls.values()]
+	/** Lists the voters of the latest configuration; empty while a reconfiguration is not committed. */
+	#listVoters(): Set<string> {
+		const replicasByCommit = [...this.#controls.values()]
 			.filter(control => control.replica && control.replica.configuration.voters.length > 0)
 			.toSorted((a, b) => b.replica!.commitIndex - a.replica!.commitIndex);
-		const best = configurations[0]?.replica;
-		const isFinished = best?.isConfigurationCommitted && best.configuration.outgoing.length === 0;
-		return new Set(isFinished ? best.configuration.voters.map(member => member.replica) : []);
+		const latest = replicasByCommit[0]?.replica;
+		const isStable = latest?.isConfigurationCommitted && latest.configuration.outgoing.length === 0;
+		return new Set(isStable ? latest.configuration.voters.map(member => member.replica) : []);
 	}
 
-	#pauseSomething(): void {
+	#pauseProcess(): void {
 		const target = pick([...this.#simulator.processes.values()].filter(process => process.isAlive && !process.isPaused), this.#random);
 		const leader = [...this.#controls.values()].find(control => control.isLeader);
 		const process = this.#random() < 0.4 && leader && !leader.process.isPaused ? leader.process : target;
 		if (process) {
-			this.#fault('pause', process.name);
+			this.#recordFault('pause', process.name);
 			this.#simulator.pause(process);
-			const long = this.#random() < 0.3 ? LONGEST_PAUSE_MS : 1500;
-			this.#simulator.schedule(50 + (this.#random() * long), () => {
-				this.#simulator.log(`${process.name} goes on`);
+			const maxPauseMs = this.#random() < 0.3 ? MAX_PAUSE_MS : 1500;
+			this.#simulator.schedule(50 + (this.#random() * maxPauseMs), () => {
+				this.#simulator.log(`${process.name} resumes`);
 				this.#simulator.resume(process);
 			});
 		}
 	}
 
-	#cutSomething(): void {
+	#partitionProcess(): void {
 		const names = [...this.#simulator.processes.keys()];
 		const isOneWay = this.#random() < 0.4;
 		const target = this.#random() < 0.5 ? [...this.#controls.values()].find(control => control.isLeader)?.host : undefined;
-		const victim = target ?? pick(names, this.#random)!;
-		const others = names.filter(name => name !== victim && this.#random() < 0.8);
-		this.#fault(isOneWay ? 'cut one way' : 'cut', `${victim} from ${others.join(' ')}`);
+		const isolated = target ?? pick(names, this.#random)!;
+		const others = names.filter(name => name !== isolated && this.#random() < 0.8);
+		this.#recordFault(isOneWay ? 'cut one way' : 'cut', `${isolated} from ${others.join(' ')}`);
 		for (const other of others) {
-			this.#simulator.blockLink(victim, other);
+			this.#simulator.blockLink(isolated, other);
 			if (!isOneWay) {
-				this.#simulator.blockLink(other, victim);
+				this.#simulator.blockLink(other, isolated);
 			}
 		}
 
 		this.#simulator.schedule(100 + (this.#random() * 3500), () => {
-			this.#simulator.log('cuts heal');
+			this.#simulator.log('partitions end');
 			this.#simulator.unblockLinks();
 		});
 	}
 
-	#handOver(): void {
+	#transferLeadership(): void {
 		const leader = [...this.#controls.values()].find(control => control.isLeader && !control.process.isPaused);
 		if (leader) {
-			this.#fault('hand over', leader.host);
+			this.#recordFault('hand over', leader.host);
 			leader.transferLeadership();
 		}
 	}
 
-	#stormNetwork(): void {
-		this.#fault('storm', 'drops, duplicates and delays');
+	#degradeNetwork(): void {
+		this.#recordFault('storm', 'drops, duplicates and delays');
 		const {network} = this.#simulator;
 		network.dropProbability = this.#random() * 0.25;
 		network.duplicateProbability = this.#random() * 0.2;
-		network.maxDelayMs = 5 + (this.#random() * this.#temper.stormDelayMs);
+		network.maxDelayMs = 5 + (this.#random() * this.#profile.degradedMaxDelayMs);
 		this.#simulator.schedule(200 + (this.#random() * 2000), () => {
-			this.#calmNetwork();
+			this.#restoreNetwork();
 		});
 	}
 
-	#calmNetwork(): void {
+	#restoreNetwork(): void {
 		Object.assign(this.#simulator.network, {dropProbability: 0, duplicateProbability: 0, maxDelayMs: 3});
 	}
 
-	#fault(kind: string, detail: string): void {
+	#recordFault(kind: string, detail: string): void {
 		this.#simulator.countFault(kind);
 		this.#simulator.log(`FAULT ${kind}: ${detail}`);
 	}
 
-	#heal(): void {
-		this.#isHealed = true;
-		this.#simulator.log('everything heals');
-		this.#calmNetwork();
+	#startRecovery(): void {
+		this.#isRecovering = true;
+		this.#simulator.log('recovery phase starts');
+		this.#restoreNetwork();
 		this.#simulator.unblockLinks();
 		for (const process of this.#simulator.processes.values()) {
 			this.#simulator.resume(process);
 		}
 
-		for (const {restart} of this.#listKillable()) {
+		for (const {restart} of this.#listKillableProcesses()) {
 			restart();
 		}
 	}
 
-	/** After healing everything must come to an end. */
+	/** Checks that after recovery there is one leader, no work is open and all resource views are up to date. */
 	#checkLiveness(): void {
 		const {referenceState} = this.#checker;
 		const leaders = [...this.#controls.values()].filter(control => control.holdsLeaderLease);
 		if (leaders.length !== 1) {
-			this.#checker.reportViolation(`${leaders.length} leaders with authority after healing`);
+			this.#checker.reportViolation(`${leaders.length} replicas hold the leader lease after recovery`);
 			return;
 		}
 
 		const open = referenceState.ledger.listOpen();
 		if (open.length > 0) {
-			this.#checker.reportViolation(`claims stay open after healing: ${open.map(({key, attempt}) => `${key} ${attempt}`).join(', ')}`);
+			this.#checker.reportViolation(`claims still open after recovery: ${open.map(({key, attempt}) => `${key} ${attempt}`).join(', ')}`);
 		}
 
 		const changes = referenceState.listOpenChanges();
 		if (changes.length > 0) {
-			this.#checker.reportViolation(`changes stay open after healing: ${changes.map(({name, status}) => `${name} ${status?.phase}`).join(', ')}`);
+			this.#checker.reportViolation(`changes still open after recovery: ${changes.map(({name, status}) => `${name} ${status?.phase}`).join(', ')}`);
 		}
 
 		for (const entry of this.#entries) {
 			if (entry.view.version !== referenceState.viewVersion) {
-				this.#checker.reportViolation(`${entry.host} has configuration ${entry.view.version} after healing, not ${referenceState.viewVersion}`);
+				this.#checker.reportViolation(`resource view of ${entry.host} has version ${entry.view.version} after recovery instead of ${referenceState.viewVersion}`);
 			}
 		}
 
-		if (this.#unanswered.size > 0) {
-			this.#checker.reportViolation(`callers have no answer after healing: ${[...this.#unanswered].join(' ')}`);
+		if (this.#unansweredKeys.size > 0) {
+			this.#checker.reportViolation(`callers without a response after recovery: ${[...this.#unansweredKeys].join(' ')}`);
 		}
 	}
 }
 
 /** Ends a run at its first violation. */
-class Stop extends Error {
+class ViolationFound extends Error {
 	constructor() {
-		super('A check failed.');
+		super('An invariant is violated.');
 	}
 }
 
--- a/dev/fuzz/simulator.ts
+++ b/dev/fuzz/simulator.ts
@@ -1,24 +1,25 @@
 /**
- * Virtual time, a network that fails, and processes that are killed, paused and cut off.
+ * Deterministic simulation of time, an unreliable network, and processes that can be killed, paused and partitioned.
  *
  * @module
  */
 import type {Random} from '../../src/base/random.js';
 
-/** A process as the world sees it. */
+/** A simulated process. */
 export type SimulatedProcess = {
 	readonly name: string;
 	isAlive: boolean;
 	isPaused: boolean;
-	/** Rises with each kill, so that what was meant for an earlier start is dropped. */
+	/** Increases with each kill, so that messages and timers for an earlier start are dropped. */
 	generation: number;
-	/** What arrived while it was paused. */
+	/** Messages and timers that became due while it was paused. */
 	readonly backlog: Array<{readonly isTimer: boolean; readonly run: () => void}>;
 };
 
-type Scheduled = {
+type ScheduledEvent = {
 	readonly atMs: number;
-	readonly order: number;
+	/** Orders events that are due at the same time. */
+	readonly sequence: number;
 	readonly run: () => void;
 };
 
@@ -27,14 +28,14 @@
 export type NetworkConditions = {
 	dropProbability: number;
 	duplicateProbability: number;
-	/** Longest delay of a message, milliseconds. */
+	/** Longest delay of a message beyond the minimum, milliseconds. */
 	maxDelayMs: number;
 };
 
 const MIN_DELAY_MS = 0.3;
 const MAX_TRACE_LINES = 4000;
 
-/** The world of one run; everything that happens in it is decided by its random source. */
+/** The simulation of one run; the seed of its random source determines everything that happens. */
 export class Simulator {
 	readonly random: Random;
 	readonly processes = new Map<string, SimulatedProcess>();
@@ -43,9 +44,9 @@
 	readonly trace: string[] = [];
 	nowMs = 0;
 	steps = 0;
-	readonly #heap: Scheduled[] = [];
-	readonly #cuts = new Set<string>();
-	#order = 0;
+	readonly #queue: ScheduledEvent[] = [];
+	readonly #blockedLinks = new Set<string>();
+	#nextSequence = 0;
 
 	constructor(random: Random) {
 		this.random = random;
@@ -70,12 +71,12 @@
 		this.faults[kind] = (this.faults[kind] ?? 0) + 1;
 	}
 
-	/** Runs something later in the world itself. */
+	/** Runs a callback later, independent of any process. */
 	schedule(delayMs: number, run: () => void): void {
-		this.#push({atMs: this.nowMs + delayMs, order: this.#order++, run});
+		this.#push({atMs: this.nowMs + delayMs, sequence: this.#nextSequence++, run});
 	}
 
-	/** Runs something later in a process; nothing happens if that start of it is gone by then. */
+	/** Runs a callback later on a process, unless the process has been killed by then. */
 	scheduleOn(process: SimulatedProcess, delayMs: number, run: () => void): void {
 		const {generation} = process;
 		this.schedule(delayMs, () => {
@@ -84,10 +85,10 @@
 	}
 
 	/**
-	 * Sends something from one process to another through the network.
+	 * Delivers a message from one process to another through the network: runs a callback on the receiver.
 	 *
-	 * @param options - `once`: a request on a connection of its own, which may be lost but does not arrive twice;
-	 * `withinMs`: it does not arrive later, since the connection is destroyed by then.
+	 * @param options - `once`: the message has its own connection, so it may be lost but is never duplicated;
+	 * `withinMs`: the message is dropped if its delay is longer, since the sender has destroyed the connection by then.
 	 */
 	send(from: SimulatedProcess, to: SimulatedProcess, run: () => void, options: {readonly once?: boolean; readonly withinMs?: number} = {}): void {
 		if (this.isLinkBlocked(from.name, to.name) || this.random() < this.network.dropProbability) {
@@ -116,24 +117,24 @@
 		}
 	}
 
-	/** Cuts one direction between two processes. */
+	/** Drops all messages in one direction between two processes. */
 	blockLink(from: string, to: string): void {
-		this.#cuts.add(`${from}>${to}`);
+		this.#blockedLinks.add(`${from}>${to}`);
 	}
 
 	unblockLinks(): void {
-		this.#cuts.clear();
+		this.#blockedLinks.clear();
 	}
 
 	isLinkBlocked(from: string, to: string): boolean {
-		return this.#cuts.has(`${from}>${to}`);
+		return this.#blockedLinks.has(`${from}>${to}`);
 	}
 
 	pause(process: SimulatedProcess): void {
 		process.isPaused = true;
 	}
 
-	/** Lets a paused process go on: what waited for it comes at once, timers first or messages first. */
+	/** Resumes a paused process: runs its backlog at once, either all timers or all messages first. */
 	resume(process: SimulatedProcess): void {
 		process.isPaused = false;
 		const backlog = process.backlog.splice(0);
@@ -152,10 +153,10 @@
 		process.backlog.length = 0;
 	}
 
-	/** Runs until a time; false if a check failed meanwhile. */
+	/** Runs all events until a time and calls `afterStep` after each; `afterStep` throws to stop the run. */
 	runUntil(untilMs: number, afterStep: () => void): void {
 		for (;;) {
-			const next = this.#heap[0];
+			const next = this.#queue[0];
 			if (!next || next.atMs > untilMs) {
 				this.nowMs = untilMs;
 				return;
@@ -187,12 +188,13 @@
 		run();
 	}
 
-	#push(item: Scheduled): void {
-		const heap = this.#heap;
-		let index = heap.push(item) - 1;
+	/** Inserts an event into the binary heap. */
+	#push(event: ScheduledEvent): void {
+		const heap = this.#queue;
+		let index = heap.push(event) - 1;
 		while (index > 0) {
 			const parent = (index - 1) >> 1; // eslint-disable-line no-bitwise
-			if (!isBefore(item, heap[parent]!)) {
+			if (!isBefore(event, heap[parent]!)) {
 				break;
 			}
 
@@ -200,11 +202,12 @@
 			index = parent;
 		}
 
-		heap[index] = item;
+		heap[index] = event;
 	}
 
+	/** Removes the first event from the binary heap. */
 	#pop(): void {
-		const heap = this.#heap;
+		const heap = this.#queue;
 		const last = heap.pop()!;
 		if (heap.length === 0) {
 			return;
@@ -233,6 +236,6 @@
 	}
 }
 
-function isBefore(a: Scheduled, b: Scheduled): boolean {
-	return a.atMs === b.atMs ? a.order < b.order : a.atMs < b.atMs;
+function isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
+	return a.atMs === b.atMs ? a.sequence < b.sequence : a.atMs < b.atMs;
 }
--- a/dev/generate.ts
+++ b/dev/generate.ts
@@ -1,5 +1,5 @@
 /**
- * Generates `src/generated/` and `docs/ERRORS.md` and `docs/operate/SETTINGS.md` from `schema/`.
+ * Generates `src/generated/`, `docs/ERRORS.md` and `docs/operate/SETTINGS.md` from `schema/`.
  *
  * @example
  * ```sh
@@ -51,9 +51,9 @@
 	const outputs = new Map<string, string>();
 	const bundle = await readBundle();
 	outputs.set('src/generated/types.ts', await renderTypes(bundle));
-	outputs.set('src/generated/checkers.ts', renderCheckers(bundle, ['Settings', 'Specification', 'Announcement', 'Deployment'], {allErrors: true, useDefaults: true}));
-	// Messages between our own processes stop at the first fault: a valid one costs less to check.
-	outputs.set('src/generated/messages.ts', renderCheckers(bundle, ['Message'], {}));
+	outputs.set('src/generated/checkers.ts', renderValidators(bundle, ['Settings', 'Specification', 'Announcement', 'Deployment'], {allErrors: true, useDefaults: true}));
+	// Validation of messages between hosts stops at the first error, which makes a valid message cheaper to validate.
+	outputs.set('src/generated/messages.ts', renderValidators(bundle, ['Message'], {}));
 	const errors = JSON.parse(await readFile(path.join(ROOT, 'schema/errors.json'), 'utf8')) as ErrorRow[];
 	outputs.set('src/generated/codes.ts', renderCodes(errors));
 	outputs.set('docs/ERRORS.md', renderErrorTable(errors));
@@ -80,8 +80,8 @@
 
 async function renderTypes(bundle: Record<string, Schema>): Promise<string> {
 	const references = Object.keys(bundle).map(name => ({$ref: `#/definitions/${name}`}));
-	const plain = JSON.parse(JSON.stringify(bundle, dropSiblings)) as Record<string, Schema>;
-	const schema = {title: 'Everything', definitions: plain, anyOf: references} as unknown as JSONSchema;
+	const definitions = JSON.parse(JSON.stringify(bundle, dropReferenceSiblings)) as Record<string, Schema>;
+	const schema = {title: 'Everything', definitions, anyOf: references} as unknown as JSONSchema;
 	const text = await compile(schema, 'Everything', {
 		bannerComment: `/** ${NOTICE} */`,
 		declareExternallyReferenced: true,
@@ -92,20 +92,20 @@
 	return text.replaceAll(/^export interface (\w+) \{/gmv, 'export type $1 = {').replaceAll(/\[k: string\]: unknown;?/gv, '');
 }
 
-// A reference with a description beside it would get a type of its own.
-function dropSiblings(_key: string, value: unknown): unknown {
+// Json-schema-to-typescript would generate a separate type for a reference that has a description beside it.
+function dropReferenceSiblings(_key: string, value: unknown): unknown {
 	const reference = (value as Schema | undefined)?.$ref;
 	return reference === undefined ? value : {$ref: reference};
 }
 
-/** Writes the compiled checkers of some schemas, so that no process compiles a schema when it starts. */
-function renderCheckers(bundle: Record<string, Schema>, names: readonly string[], options: Options): string {
+/** Renders precompiled validators of some schemas, so that no process has to compile schemas at startup. */
+function renderValidators(bundle: Record<string, Schema>, names: readonly string[], options: Options): string {
 	const ajv = new Ajv({
 		...options, discriminator: true, strict: false, code: {source: true, esm: true, lines: true},
 	});
 	ajv.addSchema({$id: 'carawayhoist', definitions: bundle});
 	const references = Object.fromEntries(names.map(name => [`check${name}`, `carawayhoist#/definitions/${name}`]));
-	// The library writes imports of its own helpers as calls of require, which modules do not have.
+	// Ajv emits `require` calls for its runtime helpers, which are not available in ES modules.
 	const helpers = new Set<string>();
 	const code = standalone(ajv, references).replaceAll(/require\("(ajv\/dist\/runtime\/(\w+))"\)\.default/gv, (_match, module: string, helper: string) => {
 		helpers.add(`import ${helper} from '${module}.js';`);
@@ -158,18 +158,18 @@
 function describeSettings(bundle: Record<string, Schema>, schema: Schema, pointer: string, lines: string[]): void {
 	for (const [name, property] of Object.entries(schema.properties ?? {})) {
 		const target = property.$ref ? bundle[property.$ref.replace('#/definitions/', '')]! : property;
-		const here = `${pointer}/${name}`;
+		const ownPointer = `${pointer}/${name}`;
 		const required = schema.required?.includes(name) ? 'yes' : 'no';
-		const fallback = target.default === undefined ? '' : JSON.stringify(target.default);
-		const kind = target.type ?? 'string';
-		lines.push(`| \`${here}\` | ${kind} | ${allowedValues(target)} | ${fallback} | ${required} | ${property.description ?? ''} |`);
+		const defaultValue = target.default === undefined ? '' : JSON.stringify(target.default);
+		const type = target.type ?? 'string';
+		lines.push(`| \`${ownPointer}\` | ${type} | ${formatAllowedValues(target)} | ${defaultValue} | ${required} | ${property.description ?? ''} |`);
 		const nested = target.type === 'array' ? target.items! : target;
 		const inner = nested.$ref ? bundle[nested.$ref.replace('#/definitions/', '')]! : nested;
-		describeSettings(bundle, inner, target.type === 'array' ? `${here}/*` : here, lines);
+		describeSettings(bundle, inner, target.type === 'array' ? `${ownPointer}/*` : ownPointer, lines);
 	}
 }
 
-function allowedValues(schema: Schema): string {
+function formatAllowedValues(schema: Schema): string {
 	const choices = schema.enum ?? schema.items?.enum;
 	if (choices) {
 		return choices.join(', ');
