--- a/bench/commits.ts
+++ b/bench/commits.ts
@@ -1,6 +1,6 @@
 /**
- * Commits: rate and latency with fsync on three and five replicas against one entry for each fsync, time from the
- * leader's death to the next commit, and restart time after many changes.
+ * Benchmark of commits in the replicated log: throughput and latency with three and five replicas, with batched writes
+ * and with one fsync per entry; time from a leader's kill to the next commit; and restart time after many changes.
  *
  * @example
  * ```sh
@@ -37,38 +37,39 @@
 
 type Row = {readonly subject: string} & Readonly<Record<string, number | string>>;
 
-const RESTART_SIZES = [100, 1000, 10_000];
+const RESTART_CHANGE_COUNTS = [100, 1000, 10_000];
 
-type RatePlan = {
+type ThroughputOptions = {
 	readonly replicas: number;
 	readonly inFlight: number;
 	readonly batched: boolean;
 };
 
-async function measureRate(plan: RatePlan): Promise<void> {
-	const group = await Group.start(plan.replicas, plan.batched);
+/** Measures throughput and latency with a constant number of proposals in flight. */
+async function measureThroughput(options: ThroughputOptions): Promise<void> {
+	const group = await ReplicaGroup.start(options.replicas, options.batched);
 	const leader = await group.waitForLeader();
 	const untilMs = performance.now() + (Number(values.seconds) * 1000);
 	const startedMs = performance.now();
-	const times: number[] = [];
-	await Promise.all(Array.from({length: plan.inFlight}, async (_, lane) => {
+	const latenciesMs: number[] = [];
+	await Promise.all(Array.from({length: options.inFlight}, async (_, client) => {
 		for (let index = 0; performance.now() < untilMs; index++) {
-			const beganMs = performance.now();
-			const result = await leader.propose(encodeValue(createClaim(`${lane}/${index}`)));
+			const proposedMs = performance.now();
+			const result = await leader.propose(encodeValue(createClaim(`${client}/${index}`)));
 			if (Either.isRight(result)) {
-				times.push(performance.now() - beganMs);
+				latenciesMs.push(performance.now() - proposedMs);
 			}
 		}
 	}));
 	const seconds = (performance.now() - startedMs) / 1000;
 	await group.stop();
 	print({
-		subject: 'commits', replicas: plan.replicas, inFlight: plan.inFlight, mode: plan.batched ? 'batched' : 'one fsync an entry', perSecond: Math.round(times.length / seconds), ...summarizeDurations(times),
+		subject: 'commits', replicas: options.replicas, inFlight: options.inFlight, mode: options.batched ? 'batched' : 'one fsync an entry', perSecond: Math.round(latenciesMs.length / seconds), ...summarizeDurations(latenciesMs),
 	});
 }
 
-/** A group of replicas in this process, each with its files and sockets. */
-class Group {
+/** A group of replicas in this process, each with its own data folder and sockets. */
+class ReplicaGroup {
 	readonly #nodes: ConsensusNode[] = [];
 	readonly #listeners: Listener[] = [];
 	readonly #folder: string;
@@ -77,8 +78,8 @@
 		this.#folder = folder;
 	}
 
-	static async start(count: number, batched: boolean): Promise<Group> {
-		const group = new Group(await mkdtemp(path.join(os.tmpdir(), 'commits-')));
+	static async start(count: number, batched: boolean): Promise<ReplicaGroup> {
+		const group = new ReplicaGroup(await mkdtemp(path.join(os.tmpdir(), 'commits-')));
 		const members: Member[] = [];
 		for (let index = 0; index < count; index++) {
 			members.push({
@@ -167,8 +168,8 @@
 	};
 }
 
-/** Kills the leader process again and again; the clock runs from the signal to the next answered booking. */
-async function measureKills(kills: number): Promise<void> {
+/** Kills the leader process repeatedly and measures the time from the signal to the next successful booking. */
+async function measureFailover(kills: number): Promise<void> {
 	const fleet = await ProcessFleet.start({
 		controlHosts: 3, entryHosts: 1, engines: 0, plainServers: 1, logLevel: 'warn',
 	});
@@ -177,35 +178,35 @@
 		method: 'PUT', body: JSON.stringify({specification: {kind: 'service', routes: [{method: 'POST', path: '/booking/seats', repeatable: false}]}}),
 	});
 	await waitUntil(async () => (await bookSeat(entry.url, 'warm')).status === 200, 'bookings');
-	const times: number[] = [];
+	const durationsMs: number[] = [];
 	for (let kill = 0; kill < kills; kill++) {
 		const leader = (await findLeader(fleet, entry))!;
 		const killedMs = performance.now();
 		leader.child.kill('SIGKILL');
 		await waitUntil(async () => (await bookSeat(entry.url, `kill-${kill}`)).status === 200, 'a booking after the kill');
-		times.push(performance.now() - killedMs);
+		durationsMs.push(performance.now() - killedMs);
 		await fleet.restartHost(leader, {wipe: false});
 		await waitUntil(async () => {
 			const {progress} = await (await fetch(`${entry.url}/api/v1/members`)).json() as {progress: Array<{alive: boolean}>};
 			return progress.every(({alive}) => alive);
-		}, 'three replicas again');
+		}, 'all three replicas are alive');
 	}
 
 	await fleet.stop();
-	print({subject: 'leader kill to next commit', kills, ...summarizeDurations(times)});
+	print({subject: 'leader kill to next commit', kills, ...summarizeDurations(durationsMs)});
 }
 
-/** Opens a data folder after many changes, as a restart does. */
+/** Measures how long a restart takes to open the data folder and restore the state after many changes. */
 async function measureRestart(changes: number): Promise<void> {
-	const group = await Group.start(1, true);
+	const group = await ReplicaGroup.start(1, true);
 	const leader = await group.waitForLeader();
-	const batch = 64;
-	for (let done = 0; done < changes; done += batch) {
-		await Promise.all(Array.from({length: Math.min(batch, changes - done)}, async (_, index) => leader.propose(encodeValue(createPut(done + index)))));
+	const batchSize = 64;
+	for (let done = 0; done < changes; done += batchSize) {
+		await Promise.all(Array.from({length: Math.min(batchSize, changes - done)}, async (_, index) => leader.propose(encodeValue(createPut(done + index)))));
 	}
 
 	const folder = group.folderOf('r0');
-	const times: number[] = [];
+	const durationsMs: number[] = [];
 	for (let round = 0; round < 15; round++) {
 		const startedMs = performance.now();
 		const storage = await Storage.open(folder, {onSynced: () => undefined, onFailed: () => undefined});
@@ -225,14 +226,14 @@
 			await storage.right.close();
 		}
 
-		times.push(performance.now() - startedMs);
+		durationsMs.push(performance.now() - startedMs);
 	}
 
 	await group.stop();
-	print({subject: 'restart', changes, ...summarizeDurations(times)});
+	print({subject: 'restart', changes, ...summarizeDurations(durationsMs)});
 }
 
-/** Changes of the same few resources, as operators make them. */
+/** Creates a put of one of 100 resources, since operators change the same few resources. */
 function createPut(index: number): Command {
 	return {
 		type: 'put', at: Date.now(), requestId: `request-${index}`, name: `team-${index % 100}`, seen: -1, specification: {kind: 'team', weight: 1 + index},
@@ -247,19 +248,19 @@
 	if (values.only === undefined || values.only === 'rate') {
 		for (const replicas of [3, 5]) {
 			for (const inFlight of [1, 64]) {
-				// Alternating, so that both meet the same machine.
-				await measureRate({replicas, inFlight, batched: true});
-				await measureRate({replicas, inFlight, batched: false});
+				// Both modes alternate, so that changes in the machine's load affect them equally.
+				await measureThroughput({replicas, inFlight, batched: true});
+				await measureThroughput({replicas, inFlight, batched: false});
 			}
 		}
 	}
 
 	if (values.only === undefined || values.only === 'kill') {
-		await measureKills(Number(values.kills));
+		await measureFailover(Number(values.kills));
 	}
 
 	if (values.only === undefined || values.only === 'restart') {
-		for (const changes of RESTART_SIZES) {
+		for (const changes of RESTART_CHANGE_COUNTS) {
 			await measureRestart(changes);
 		}
 	}
--- a/bench/plot.ts
+++ b/bench/plot.ts
@@ -1,5 +1,5 @@
 /**
- * Draws the policies' goodput and role changes as SVG from the lines of `bench:policy -- --json`.
+ * Plots goodput and role changes of each policy as SVG bar charts from the output of `bench:policy -- --json`.
  *
  * @example
  * ```sh
@@ -13,14 +13,14 @@
 import * as vega from 'vega';
 import {compile, type TopLevelSpec} from 'vega-lite';
 
-const [input = '', folder = '.'] = process.argv.slice(2);
-const text = await readFile(input, 'utf8');
+const [inputFile = '', outputFolder = '.'] = process.argv.slice(2);
+const text = await readFile(inputFile, 'utf8');
 const rows = text.trim().split('\n').filter(line => line.startsWith('{')).map(line => JSON.parse(line) as Record<string, unknown>);
 
-await draw('goodput', 'Answers on time a second', rows.filter(row => row.profile === 'tallgrass'));
-await draw('roleChanges', 'Role changes', rows.filter(row => row.policy !== 'bound'));
+await plot('goodput', 'Completions within the latency targets per second', rows.filter(row => row.profile === 'tallgrass'));
+await plot('roleChanges', 'Role changes', rows.filter(row => row.policy !== 'bound'));
 
-async function draw(field: string, title: string, values: Array<Record<string, unknown>>): Promise<void> {
+async function plot(field: string, title: string, values: Array<Record<string, unknown>>): Promise<void> {
 	const specification: TopLevelSpec = {
 		data: {values},
 		title,
@@ -42,5 +42,5 @@
 		},
 	};
 	const view = new vega.View(vega.parse(compile(specification).spec), {renderer: 'none'});
-	await writeFile(path.join(folder, `${field}.svg`), `${await view.toSVG()}\n`);
+	await writeFile(path.join(outputFolder, `${field}.svg`), `${await view.toSVG()}\n`);
 }
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -1,5 +1,5 @@
 /**
- * Compares policies on recorded traces in virtual time.
+ * Compares placement policies on generated traces in a discrete-event simulation of the engines.
  *
  * @example
  * ```sh
@@ -35,6 +35,7 @@
 });
 
 type ProfileName = keyof typeof PROFILES;
+/** One line of output: the result of a policy on a trace. */
 type Row = Omit<SimulationResult, 'unanswered' | 'enginesLost' | 'lateFirstTokens'> & {readonly trace: TraceName; readonly profile: ProfileName; readonly seed: number; readonly policy: string};
 
 const traces = values.trace === undefined ? TRACE_NAMES : TRACE_NAMES.filter(name => name === values.trace);
@@ -42,7 +43,7 @@
 const seeds = Array.from({length: Number(values.seeds)}, (_, index) => Number(values.seed) + index);
 
 if (traces.length === 0 || profiles.some(name => !(name in PROFILES))) {
-	console.error(`Traces: ${TRACE_NAMES.join(', ')}. Profiles: ${Object.keys(PROFILES).join(', ')}.`);
+	console.error(`Unknown trace or profile. Traces: ${TRACE_NAMES.join(', ')}. Profiles: ${Object.keys(PROFILES).join(', ')}.`);
 	process.exit(2);
 }
 
@@ -59,7 +60,7 @@
 function compare(): void {
 	for (const profile of profiles) {
 		for (const name of traces) {
-			const rows = seeds.flatMap(seed => runAll(name, profile, seed));
+			const rows = seeds.flatMap(seed => runPolicies(name, profile, seed));
 			if (!values.json) {
 				printSummary(name, profile, rows);
 			}
@@ -67,7 +68,8 @@
 	}
 }
 
-function runAll(name: TraceName, profile: ProfileName, seed: number): Row[] {
+/** Runs every policy on one trace and adds the upper bound of the goodput. */
+function runPolicies(name: TraceName, profile: ProfileName, seed: number): Row[] {
 	const trace = generateTrace(name, seed);
 	const policies: Array<readonly [string, Policy]> = [
 		['carawayhoist', new CarawayhoistPolicy(PROFILES[profile], seed)],
@@ -98,25 +100,25 @@
 
 function printSummary(name: TraceName, profile: ProfileName, rows: readonly Row[]): void {
 	for (const policy of ['carawayhoist', 'naive', 'greedy', 'bound']) {
-		const own = rows.filter(row => row.policy === policy);
+		const policyRows = rows.filter(row => row.policy === policy);
 		const cells = (['goodput', 'refused', 'late', 'roleChanges'] as const).map(field => {
-			const {mean, deviation} = computeSpread(own.map(row => row[field]));
+			const {mean, deviation} = computeSpread(policyRows.map(row => row[field]));
 			return `${field} ${mean.toFixed(2)} ±${deviation.toFixed(2)}`;
 		});
 		console.log(`${name.padEnd(10)} ${profile.padEnd(9)} ${policy.padEnd(12)} ${cells.join('  ')}`);
 	}
 }
 
-/** Switches each mechanism off in turn. */
+/** Toggles each feature of our policy in turn, to show what it contributes. */
 function ablate(): void {
-	const features: Array<readonly [string, Features]> = [
+	const variants: Array<readonly [string, Features]> = [
 		['everything', DEFAULT_FEATURES],
 		...(Object.keys(DEFAULT_FEATURES) as Array<keyof Features>).map(name => [`${DEFAULT_FEATURES[name] ? 'without' : 'with'} ${name}`, {...DEFAULT_FEATURES, [name]: !DEFAULT_FEATURES[name]}] as const),
 	];
 	for (const name of traces) {
 		for (const profile of profiles) {
-			for (const [title, set] of features) {
-				const results = seeds.map(seed => simulate(generateTrace(name, seed), new CarawayhoistPolicy(PROFILES[profile], seed, set)));
+			for (const [title, features] of variants) {
+				const results = seeds.map(seed => simulate(generateTrace(name, seed), new CarawayhoistPolicy(PROFILES[profile], seed, features)));
 				const {mean, deviation} = computeSpread(results.map(({goodput}) => goodput));
 				const changes = computeSpread(results.map(({roleChanges}) => roleChanges)).mean;
 				const late = computeSpread(results.map(result => result.late)).mean;
--- a/bench/policy/engine.ts
+++ b/bench/policy/engine.ts
@@ -1,5 +1,6 @@
 /**
- * A small engine in virtual time: continuous batching, prefill and decode cost, prefix cache with eviction, limited KV.
+ * Simulated model engine: continuous batching, prefill and decode cost, prefix cache with LRU eviction, limited KV
+ * cache.
  *
  * @module
  */
@@ -11,15 +12,15 @@
 	readonly promptTokens: number;
 	readonly outputTokens: number;
 	readonly blocks: readonly number[];
-	/** Tokens that came along from another engine. */
+	/** Whether the KV cache of the prompt was transferred from another engine, so that no prefill is needed. */
 	readonly isImported: boolean;
-	/** Whether it ends after the first token, to go on elsewhere. */
+	/** Whether it ends after its first token, to continue on another engine. */
 	readonly handsOff: boolean;
 	readonly poison: boolean;
-	/** Tokens that the caller already has. */
+	/** Number of output tokens that the caller has already received. */
 	readonly offset: number;
 	readonly onToken: (nowMs: number) => void;
-	readonly onEnd: (nowMs: number, end: 'complete' | 'handoff' | 'died', cachedBlocks: number) => void;
+	readonly onEnd: (nowMs: number, end: 'complete' | 'handoff' | 'crashed', cachedBlocks: number) => void;
 };
 
 type RunningJob = {
@@ -29,30 +30,31 @@
 	cachedBlocks: number;
 };
 
-/** What an engine of this kind can do; the same numbers that the policy starts from. */
+/** Speed of every simulated engine; the policies estimate load with the same numbers. */
 export const ENGINE_SPEED: Speed = {prefillTokensPerMs: 16, stepMs: 14, stepMsPerRequest: 0.2};
 export const MAX_RUNNING_REQUESTS = 52;
 export const KV_CACHE_TOKENS = 64_000;
 export const ROLE_CHANGE_MS = 4000;
-/** Prompt tokens that one step computes, by role: many at once serve prompts, few keep streams smooth. */
+/** Prompt tokens per step, by role: large chunks speed up prefill, small ones keep the time between tokens short. */
 const CHUNK_TOKENS: Readonly<Record<EngineRole, number>> = {prefill: 2048, mixed: 128, decode: 64};
 const TOKENS_PER_BLOCK = 64;
 const CACHE_BLOCKS = 600;
 const RESTART_MS = 20_000;
 
-/** One engine. */
+/** A simulated engine. */
 export class SimulatedEngine {
 	readonly name: string;
 	role: EngineRole;
-	/** Away until then: changing its role, restarting, or withdrawn. */
+	/** Until then it runs no requests, because it is changing its role, restarting or withdrawn. */
 	unavailableUntilMs = 0;
 	crashCount = 0;
 	readonly #cache = new Map<number, true>();
 	#waiting: EngineJob[] = [];
 	#running: RunningJob[] = [];
 	#isStepping = false;
+	/** Increases with each crash, so that a step which was running then has no effect. */
 	#generation = 0;
-	#roleAfter: EngineRole | undefined;
+	#nextRole: EngineRole | undefined;
 	readonly #schedule: (delayMs: number, run: (nowMs: number) => void) => void;
 
 	constructor(name: string, role: EngineRole, schedule: (delayMs: number, run: (nowMs: number) => void) => void) {
@@ -66,7 +68,7 @@
 			running: this.#running.length,
 			waiting: this.#waiting.length,
 			prefillTokens: this.#running.reduce((sum, running) => sum + running.prefillLeft, 0) + this.#waiting.reduce((sum, job) => sum + (job.isImported ? 0 : job.promptTokens), 0),
-			decodeTokens: this.#kvTokens(),
+			decodeTokens: this.#reservedKvTokens(),
 		};
 	}
 
@@ -76,20 +78,20 @@
 
 	submit(job: EngineJob, nowMs: number): void {
 		this.#waiting.push(job);
-		this.#wake(nowMs);
+		this.#startStepping(nowMs);
 	}
 
-	/** Changes the role; the engine must be idle, and is away for some seconds. */
+	/** Changes the role. The engine must be idle; it is unavailable until the change is done. */
 	changeRole(role: EngineRole, nowMs: number): void {
 		this.unavailableUntilMs = nowMs + ROLE_CHANGE_MS;
-		this.#roleAfter = role;
+		this.#nextRole = role;
 		this.#cache.clear();
 		this.#schedule(ROLE_CHANGE_MS, () => {
-			this.role = this.#roleAfter ?? this.role;
+			this.role = this.#nextRole ?? this.role;
 		});
 	}
 
-	/** Dies with everything it runs. */
+	/** Crashes: ends all running and waiting requests and clears the prefix cache. */
 	crash(nowMs: number, forMs: number): void {
 		this.crashCount++;
 		this.#generation++;
@@ -100,11 +102,12 @@
 		this.#waiting = [];
 		this.#isStepping = false;
 		for (const job of lost) {
-			job.onEnd(nowMs, 'died', 0);
+			job.onEnd(nowMs, 'crashed', 0);
 		}
 	}
 
-	#wake(nowMs: number): void {
+	/** Starts the step loop if it is not running. */
+	#startStepping(nowMs: number): void {
 		if (!this.#isStepping) {
 			this.#isStepping = true;
 			this.#step(nowMs);
@@ -140,44 +143,46 @@
 			running.job.onToken(nowMs);
 		}
 
-		const isOver = (running: RunningJob) => running.job.offset + running.produced >= running.job.outputTokens || (running.job.handsOff && running.produced > 0);
-		const over = this.#running.filter(running => isOver(running));
-		this.#running = this.#running.filter(running => !isOver(running));
-		for (const {job, produced, cachedBlocks} of over) {
+		const isFinished = (running: RunningJob) => running.job.offset + running.produced >= running.job.outputTokens || (running.job.handsOff && running.produced > 0);
+		const finished = this.#running.filter(running => isFinished(running));
+		this.#running = this.#running.filter(running => !isFinished(running));
+		for (const {job, produced, cachedBlocks} of finished) {
 			job.onEnd(nowMs, job.offset + produced >= job.outputTokens ? 'complete' : 'handoff', cachedBlocks);
 		}
 
 		this.#step(nowMs);
 	}
 
+	/** Moves waiting requests into the running batch while the batch and the KV cache have room. */
 	#admit(): void {
 		while (this.#waiting.length > 0 && this.#running.length < MAX_RUNNING_REQUESTS) {
 			const job = this.#waiting[0]!;
-			const isFitting = this.#kvTokens() + job.promptTokens + job.outputTokens <= KV_CACHE_TOKENS;
-			if (!isFitting && this.#running.length > 0) {
+			const fitsKvCache = this.#reservedKvTokens() + job.promptTokens + job.outputTokens <= KV_CACHE_TOKENS;
+			if (!fitsKvCache && this.#running.length > 0) {
 				return;
 			}
 
 			this.#waiting.shift();
 			const cachedBlocks = this.#countCached(job.blocks);
-			const cached = job.isImported ? job.promptTokens : cachedBlocks * TOKENS_PER_BLOCK;
-			// At least the last token is computed.
-			const prefillLeft = job.isImported ? 0 : Math.max(1, job.promptTokens + job.offset - cached);
+			const cachedTokens = job.isImported ? job.promptTokens : cachedBlocks * TOKENS_PER_BLOCK;
+			// The last prompt token is always computed, even if the whole prompt is cached.
+			const prefillLeft = job.isImported ? 0 : Math.max(1, job.promptTokens + job.offset - cachedTokens);
 			this.#running.push({
 				job, prefillLeft, produced: 0, cachedBlocks,
 			});
-			this.#remember(job.blocks);
+			this.#cacheBlocks(job.blocks);
 		}
 	}
 
+	/** Assigns the prefill tokens of the next step to running requests in order, and returns their number. */
 	#takeChunk(): number {
 		let budget = CHUNK_TOKENS[this.role];
 		let taken = 0;
 		for (const running of this.#running) {
-			const part = Math.min(budget, running.prefillLeft);
-			running.prefillLeft -= part;
-			budget -= part;
-			taken += part;
+			const tokens = Math.min(budget, running.prefillLeft);
+			running.prefillLeft -= tokens;
+			budget -= tokens;
+			taken += tokens;
 			if (budget === 0) {
 				break;
 			}
@@ -186,16 +191,19 @@
 		return taken;
 	}
 
-	#kvTokens(): number {
+	/** Returns the KV cache tokens that are reserved for running requests. */
+	#reservedKvTokens(): number {
 		return this.#running.reduce((sum, {job}) => sum + job.promptTokens + job.outputTokens, 0);
 	}
 
+	/** Counts the leading blocks that are in the prefix cache. */
 	#countCached(blocks: readonly number[]): number {
-		const miss = blocks.findIndex(block => !this.#cache.has(block));
-		return miss === -1 ? blocks.length : miss;
+		const firstMiss = blocks.findIndex(block => !this.#cache.has(block));
+		return firstMiss === -1 ? blocks.length : firstMiss;
 	}
 
-	#remember(blocks: readonly number[]): void {
+	/** Adds blocks to the prefix cache as the most recently used ones and evicts the least recently used. */
+	#cacheBlocks(blocks: readonly number[]): void {
 		for (const block of blocks) {
 			this.#cache.delete(block);
 			this.#cache.set(block, true);
--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -1,5 +1,5 @@
 /**
- * The policies that are compared: ours, made of the cores that the daemon runs, and two baselines.
+ * The compared placement policies: ours, which uses the routing code of the daemon, and two baselines.
  *
  * @module
  */
@@ -26,27 +26,27 @@
 	readonly role: EngineRole;
 };
 
-/** Entry hosts that share the work, each with a view of its own. */
+/** Number of entry hosts that share the requests; each has its own estimate of the engines' load. */
 const ENTRY_HOSTS = 14;
 
-/** What a policy decides. */
+/** A policy: places requests on engines and changes the engines' roles. */
 export interface Policy {
 	readonly initialRole: (index: number) => EngineRole;
-	/** Whether crashes are judged, so that a request that causes them is stopped. */
+	/** Whether a request that crashes engines is detected and stopped. */
 	readonly detectsPoison: boolean;
 	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): PolicyDecision;
 	placeContinuation(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): SimulatedEngine | undefined;
 	recordSent?(request: TraceRequest, id: number, engine: SimulatedEngine, nowMs: number): void;
 	recordFirstToken?(id: number, engine: SimulatedEngine, nowMs: number): void;
-	/** Notes whether an answer's first token came in time. */
+	/** Records whether the first token of a response met its latency target. */
 	recordTimeliness?(request: TraceRequest, isOnTime: boolean): void;
 	recordEnd?(request: TraceRequest, id: number, engine: SimulatedEngine, cachedBlocks: number | undefined): void;
-	/** Takes the load reports, which are some time old. */
+	/** Records the load of the engines; called periodically, so that the policy's data is always somewhat old. */
 	recordLoadReports?(engines: readonly SimulatedEngine[], nowMs: number): void;
 	changeRoles(engines: readonly SimulatedEngine[], nowMs: number): RoleChange[];
 }
 
-/** Round robin over engines whose roles never change. */
+/** Baseline: round robin over mixed engines whose roles never change. */
 export class NaivePolicy implements Policy {
 	get detectsPoison(): boolean {
 		return false;
@@ -71,7 +71,7 @@
 	}
 }
 
-/** The emptiest engine by each host's own lagged view; roles follow the demand at once. */
+/** Baseline: the least loaded engine by each host's own, delayed load estimate; roles follow the demand at once. */
 export class GreedyPolicy implements Policy {
 	get detectsPoison(): boolean {
 		return false;
@@ -89,16 +89,16 @@
 		noteDemand(this.#meter, request, nowMs);
 		this.#next++;
 		this.#host = this.#hosts[this.#next % this.#hosts.length]!;
-		const wanted = request.promptTokens > 1000 ? 'prefill' : 'decode';
-		const fitting = usable.filter(engine => engine.role === wanted);
-		const engine = this.#emptiest(fitting.length > 0 ? fitting : usable);
-		const handsOff = wanted === 'prefill' && engine?.role === 'prefill' && usable.some(other => other.role === 'decode');
+		const preferredRole = request.promptTokens > 1000 ? 'prefill' : 'decode';
+		const preferred = usable.filter(engine => engine.role === preferredRole);
+		const engine = this.#findLeastLoaded(preferred.length > 0 ? preferred : usable);
+		const handsOff = preferredRole === 'prefill' && engine?.role === 'prefill' && usable.some(other => other.role === 'decode');
 		return engine ? {type: 'send', engine, handsOff} : {type: 'refuse'};
 	}
 
 	placeContinuation(_request: TraceRequest, usable: readonly SimulatedEngine[]): SimulatedEngine | undefined {
 		const decoding = usable.filter(engine => engine.role === 'decode');
-		return this.#emptiest(decoding.length > 0 ? decoding : usable);
+		return this.#findLeastLoaded(decoding.length > 0 ? decoding : usable);
 	}
 
 	recordSent(request: TraceRequest, id: number, engine: SimulatedEngine, nowMs: number): void {
@@ -122,30 +122,37 @@
 	changeRoles(engines: readonly SimulatedEngine[], nowMs: number): RoleChange[] {
 		const {prefill, decode} = this.#meter.read(nowMs);
 		const share = prefill / Math.max(0.01, prefill + decode);
-		const wanted = Math.min(engines.length - 1, Math.max(1, Math.round(engines.length * share)));
+		const targetCount = Math.min(engines.length - 1, Math.max(1, Math.round(engines.length * share)));
 		const prefilling = engines.filter(engine => engine.role === 'prefill');
 		const others = engines.filter(engine => engine.role !== 'prefill');
-		if (prefilling.length < wanted) {
-			return others.slice(0, wanted - prefilling.length).map(engine => ({engine, role: 'prefill'}));
+		if (prefilling.length < targetCount) {
+			return others.slice(0, targetCount - prefilling.length).map(engine => ({engine, role: 'prefill'}));
 		}
 
-		return prefilling.slice(0, prefilling.length - wanted).map(engine => ({engine, role: 'decode'}));
+		return prefilling.slice(0, prefilling.length - targetCount).map(engine => ({engine, role: 'decode'}));
 	}
 
-	#emptiest(engines: readonly SimulatedEngine[]): SimulatedEngine | undefined {
+	#findLeastLoaded(engines: readonly SimulatedEngine[]): SimulatedEngine | undefined {
 		return engines.toSorted((a, b) => this.#host.estimate(a.name).requests - this.#host.estimate(b.name).requests)[0];
 	}
 }
 
-/** What can be switched off, to see what it is worth. */
+/** Features of our policy that can be switched off, to measure what each contributes. */
 export type Features = {
+	/** Lowers the cost of engines that have the request's prefix cached; off by default, as in the daemon. */
 	readonly prefix: boolean;
+	/** Runs prefill and decode of a request on different engines. */
 	readonly handoff: boolean;
+	/** Refuses requests that are not expected to meet the latency targets. */
 	readonly refusal: boolean;
 	readonly roleChanges: boolean;
+	/** Chooses among a random sample of the engines instead of all. */
 	readonly sampling: boolean;
+	/** Adds the requests that a host has sent to the load that engines report. */
 	readonly ownWork: boolean;
+	/** Gives engines the role prefill or decode instead of mixed. */
 	readonly roles: boolean;
+	/** Lowers the refusal limit when admitted requests are late, and raises it again while they are on time. */
 	readonly margin: boolean;
 };
 
@@ -156,15 +163,15 @@
 type EntryHost = {
 	readonly loads: LoadTracker;
 	readonly prefixes: PrefixIndex;
-	/** Margins of work that is mostly prompt and of other work. */
+	/** Margins for requests that are dominated by prefill and for the others. */
 	readonly margins: {readonly prefill: PromiseMargin; readonly decode: PromiseMargin};
 };
 
-const METER_WINDOW_MS = 8000;
+const DEMAND_WINDOW_MS = 8000;
 const DECODE_MAX_RUNNING = 42;
 const PREFILL_MAX_RUNNING = 52;
 
-/** Ours: many entry hosts, each with its own lagged view, and the leader's role policy. */
+/** Our policy: several entry hosts, each with its own delayed load estimates, and the control leader's role changes. */
 export class CarawayhoistPolicy implements Policy {
 	get detectsPoison(): boolean {
 		return true;
@@ -176,7 +183,7 @@
 	readonly #hosts: EntryHost[] = [];
 	readonly #hostOf = new Map<number, EntryHost>();
 	readonly #placedBy = new Map<TraceRequest, EntryHost>();
-	readonly #meter = new DemandMeter(METER_WINDOW_MS, 0);
+	readonly #meter = new DemandMeter(DEMAND_WINDOW_MS, 0);
 	readonly #choice: ChoiceOptions;
 	#lastChangeMs = 0;
 	#next = 0;
@@ -204,12 +211,12 @@
 		noteDemand(this.#meter, request, nowMs);
 		this.#next++;
 		this.#host = this.#hosts[this.#next % this.#hosts.length]!;
-		const shape = this.#shapeOf(request);
-		const candidates = this.#candidates(usable, request);
+		const description = this.#describeRequest(request);
+		const candidates = this.#createCandidates(usable, request);
 		const placement = this.#features.handoff
-			? placeRequest(shape, candidates, this.#random, this.#choice)
-			: wrap(chooseEngine(shape, candidates, this.#random, this.#choice));
-		if (!placement || (this.#features.refusal && !meetsTargets(placement.first.cost, DEFAULT_TARGETS, this.#features.margin ? this.#marginOf(request).share : 1))) {
+			? placeRequest(description, candidates, this.#random, this.#choice)
+			: createPlacement(chooseEngine(description, candidates, this.#random, this.#choice));
+		if (!placement || (this.#features.refusal && !meetsTargets(placement.first.cost, DEFAULT_TARGETS, this.#features.margin ? this.#findMargin(request).share : 1))) {
 			return {type: 'refuse'};
 		}
 
@@ -219,22 +226,22 @@
 	}
 
 	placeContinuation(request: TraceRequest, usable: readonly SimulatedEngine[]): SimulatedEngine | undefined {
-		const decision = placeContinuation(this.#shapeOf(request), this.#candidates(usable, request), this.#random, this.#choice);
+		const decision = placeContinuation(this.#describeRequest(request), this.#createCandidates(usable, request), this.#random, this.#choice);
 		return usable.find(({name}) => name === decision?.server);
 	}
 
 	recordSent(request: TraceRequest, id: number, engine: SimulatedEngine, nowMs: number): void {
 		this.#hostOf.set(id, this.#host);
-		const cached = this.#features.prefix ? this.#expectCached(engine, request) * 64 : 0;
+		const cachedTokens = this.#features.prefix ? this.#expectCachedBlocks(engine, request) * 64 : 0;
 		if (this.#features.ownWork) {
 			this.#host.loads.begin(engine.name, String(id), {
-				promptTokens: request.promptTokens, prefillTokens: Math.max(0, request.promptTokens - cached), outputTokens: request.outputTokens,
+				promptTokens: request.promptTokens, prefillTokens: Math.max(0, request.promptTokens - cachedTokens), outputTokens: request.outputTokens,
 			}, nowMs);
 		}
 	}
 
 	recordFirstToken(id: number, engine: SimulatedEngine, nowMs: number): void {
-		// The head of an answer carries the engine's load at that moment.
+		// The response headers carry the engine's load at that moment.
 		const loads = this.#hostOf.get(id)?.loads;
 		loads?.noteFirstToken(engine.name, String(id));
 		loads?.report(engine.name, engine.load, nowMs);
@@ -264,7 +271,7 @@
 		const host = this.#placedBy.get(request);
 		this.#placedBy.delete(request);
 		if (host) {
-			this.#marginOf(request, host).note(isOnTime);
+			this.#findMargin(request, host).note(isOnTime);
 		}
 	}
 
@@ -273,8 +280,8 @@
 			return [];
 		}
 
-		const roled = engines.map(engine => ({server: engine.name, role: engine.role, running: engine.load.running}));
-		const change = chooseRoleChange(this.#demand(nowMs), roled, (nowMs - this.#lastChangeMs) / 1000, this.#profile);
+		const engineRoles = engines.map(engine => ({server: engine.name, role: engine.role, running: engine.load.running}));
+		const change = chooseRoleChange(this.#measureDemand(nowMs), engineRoles, (nowMs - this.#lastChangeMs) / 1000, this.#profile);
 		const engine = engines.find(({name}) => name === change?.server);
 		if (!change || !engine) {
 			return [];
@@ -284,43 +291,44 @@
 		return [{engine, role: change.role}];
 	}
 
-	#marginOf(request: TraceRequest, {margins} = this.#host): PromiseMargin {
+	#findMargin(request: TraceRequest, {margins} = this.#host): PromiseMargin {
 		return isPrefillWork(request) ? margins.prefill : margins.decode;
 	}
 
-	#demand(nowMs: number): Demand {
+	#measureDemand(nowMs: number): Demand {
 		return this.#meter.read(nowMs);
 	}
 
-	#shapeOf(request: TraceRequest) {
+	#describeRequest(request: TraceRequest) {
 		return {promptTokens: request.promptTokens, outputTokens: request.outputTokens, dataCentre: 'a'};
 	}
 
-	#candidates(engines: readonly SimulatedEngine[], request: TraceRequest): Candidate[] {
-		return engines.map(engine => this.#candidate(engine, engines, request));
+	#createCandidates(engines: readonly SimulatedEngine[], request: TraceRequest): Candidate[] {
+		return engines.map(engine => this.#createCandidate(engine, engines, request));
 	}
 
-	/** A prefix is at home once among the engines of each role. */
-	#isHome(engine: SimulatedEngine, engines: readonly SimulatedEngine[], request: TraceRequest): boolean {
+	/** Whether an engine owns the request's prefix; a prefix has one owner among the engines of each role. */
+	#isPrefixOwner(engine: SimulatedEngine, engines: readonly SimulatedEngine[], request: TraceRequest): boolean {
 		const blocks = listPrefixBlocks(request);
 		const seen = this.#host.prefixes.countSeen(blocks);
-		const peers = engines.filter(({role}) => role === engine.role).map(({name}) => name);
-		return this.#features.prefix && seen > 0 && findHome(peers, blocks[seen - 1]!) === engine.name;
+		const enginesOfRole = engines.filter(({role}) => role === engine.role).map(({name}) => name);
+		return this.#features.prefix && seen > 0 && findHome(enginesOfRole, blocks[seen - 1]!) === engine.name;
 	}
 
-	#expectCached(engine: SimulatedEngine, request: TraceRequest, isHome = false): number {
+	/** Returns how many of the request's prefix blocks the engine is expected to have cached. */
+	#expectCachedBlocks(engine: SimulatedEngine, request: TraceRequest, isHome = false): number {
 		return this.#host.prefixes.expectCached(engine.name, listPrefixBlocks(request), isHome);
 	}
 
-	#candidate(engine: SimulatedEngine, engines: readonly SimulatedEngine[], request: TraceRequest): Candidate {
-		const isHome = this.#isHome(engine, engines, request);
+	#createCandidate(engine: SimulatedEngine, engines: readonly SimulatedEngine[], request: TraceRequest): Candidate {
+		const isHome = this.#isPrefixOwner(engine, engines, request);
 		return {
 			server: engine.name,
 			role: engine.role,
 			dataCentre: 'a',
 			load: this.#host.loads.estimate(engine.name),
 			speed: ENGINE_SPEED,
-			cachedTokens: this.#expectCached(engine, request, isHome) * 64,
+			cachedTokens: this.#expectCachedBlocks(engine, request, isHome) * 64,
 			isHome,
 			maxRunning: engine.role === 'decode' ? DECODE_MAX_RUNNING : PREFILL_MAX_RUNNING,
 			kvTokens: KV_CACHE_TOKENS,
@@ -329,7 +337,7 @@
 }
 
 /**
- * The blocks that a request's shared beginning fills.
+ * Lists the identifiers of the full prefix blocks in a request's shared prefix.
  *
  * @example
  * ```ts
@@ -345,6 +353,7 @@
 	meter.note(prefillMs, decodeMs, nowMs);
 }
 
-function wrap(decision: ReturnType<typeof chooseEngine>): {readonly first: NonNullable<typeof decision>; readonly handsOff: boolean} | undefined {
+/** Wraps the choice of one engine for the whole request as a placement. */
+function createPlacement(decision: ReturnType<typeof chooseEngine>): {readonly first: NonNullable<typeof decision>; readonly handsOff: boolean} | undefined {
 	return decision && {first: decision, handsOff: false};
 }
--- a/bench/policy/simulation.ts
+++ b/bench/policy/simulation.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a trace through a policy in virtual time.
+ * Discrete-event simulation of a trace under a policy.
  *
  * @module
  */
@@ -13,45 +13,49 @@
 import type {Trace, TraceRequest} from './trace.js';
 
 export type SimulationResult = {
-	/** Answers whole and on time, a second. */
+	/** Complete responses within the latency targets, per second. */
 	readonly goodput: number;
 	readonly refused: number;
 	readonly late: number;
-	/** Of the late ones, those whose first token came late. */
+	/** Number of late responses whose first token was late. */
 	readonly lateFirstTokens: number;
 	readonly roleChanges: number;
 	readonly enginesLost: number;
-	/** Requests that got neither an answer nor a refusal. */
+	/** Requests that were neither completed nor refused. */
 	readonly unanswered: number;
 };
 
-type Scheduled = {
+type ScheduledEvent = {
 	readonly atMs: number;
-	readonly order: number;
+	/** Orders events that are due at the same time. */
+	readonly sequence: number;
 	readonly run: (nowMs: number) => void;
 };
 
-type Flight = {
+type InFlightRequest = {
 	readonly request: TraceRequest;
 	readonly startedMs: number;
-	readonly gaps: number[];
-	firstMs: number;
-	lastMs: number;
+	/** Times between successive tokens. */
+	readonly tokenGapsMs: number[];
+	/** Time from arrival to the first token. */
+	firstTokenMs: number;
+	lastTokenAtMs: number;
 	tokens: number;
 	attempts: number;
-	/** Where its last token came from. */
+	/** The engine that produced its last token. */
 	engine?: SimulatedEngine;
 };
 
-const REPORT_EVERY_MS = 500;
-const ROLE_TICK_MS = 1000;
-const MOVE_TOKENS_PER_MS = 200;
-const MOVE_SETUP_MS = 5;
+const LOAD_REPORT_INTERVAL_MS = 500;
+const ROLE_CHANGE_INTERVAL_MS = 1000;
+const TRANSFER_TOKENS_PER_MS = 200;
+const TRANSFER_SETUP_MS = 5;
 const MAX_ATTEMPTS = 3;
+/** The simulation runs this long after the trace, so that its last requests can finish. */
 const TAIL_MS = 30_000;
 
 /**
- * Runs a trace.
+ * Simulates a trace under a policy.
  *
  * @example
  * ```ts
@@ -63,8 +67,9 @@
 }
 
 /**
- * An upper bound of the goodput that anybody could reach who knows the trace beforehand: in each window the cheapest
- * requests that fit into the engines' time, with every prompt prefix cached and every batch full.
+ * Computes an upper bound of the goodput of any policy, even one that knows the trace in advance: the number of
+ * cheapest requests in each window that fit into the engines' time if every prompt prefix is cached and every batch is
+ * full.
  *
  * @example
  * ```ts
@@ -78,12 +83,12 @@
 	for (let start = 0; start < trace.durationMs; start += windowMs) {
 		const costs = trace.requests
 			.filter(request => request.atMs >= start && request.atMs < start + windowMs && !request.poison)
-			.map(request => leastWorkMs(request))
+			.map(request => computeMinimumWorkMs(request))
 			.toSorted((a, b) => a - b);
-		let left = trace.engines * (windowMs + slackMs);
+		let remainingMs = trace.engines * (windowMs + slackMs);
 		for (const cost of costs) {
-			left -= cost;
-			if (left >= 0) {
+			remainingMs -= cost;
+			if (remainingMs >= 0) {
 				good++;
 			}
 		}
@@ -92,13 +97,13 @@
 	return good * 1000 / trace.durationMs;
 }
 
-/** A poison request that is sent again is the same request. */
-function fingerprintOf(request: TraceRequest): string {
+/** Identifies a request for poison detection: all poison requests of a trace count as the same request sent again. */
+function createFingerprint(request: TraceRequest): string {
 	return request.poison ? 'poison' : String(request.atMs);
 }
 
-/** Engine time that a request takes at the very least: its shared beginning cached, its batch as full as an engine allows. */
-function leastWorkMs({promptTokens, prefixTokens, outputTokens}: TraceRequest): number {
+/** Computes the least engine time that a request needs: with its shared prefix cached and in a full batch. */
+function computeMinimumWorkMs({promptTokens, prefixTokens, outputTokens}: TraceRequest): number {
 	const prefillMs = Math.max(1, promptTokens - prefixTokens) / ENGINE_SPEED.prefillTokensPerMs;
 	return prefillMs + (outputTokens * ((ENGINE_SPEED.stepMs / MAX_RUNNING_REQUESTS) + ENGINE_SPEED.stepMsPerRequest));
 }
@@ -107,13 +112,15 @@
 	readonly #trace: Trace;
 	readonly #policy: Policy;
 	readonly #engines: SimulatedEngine[] = [];
-	readonly #heap: Scheduled[] = [];
+	readonly #queue: ScheduledEvent[] = [];
 	readonly #draining = new Map<SimulatedEngine, SimulatedEngine['role']>();
+	/** Crashed engine processes by the fingerprint of the request that ran on them. */
 	readonly #crashes = new Map<string, string[]>();
-	readonly #alone = new Set<SimulatedEngine>();
-	#order = 0;
+	/** Engines that run a suspected poison request; no second one is placed on them until they emit a token or crash. */
+	readonly #enginesWithSuspect = new Set<SimulatedEngine>();
+	#nextSequence = 0;
 	#nextId = 1;
-	#good = 0;
+	#onTime = 0;
 	#refused = 0;
 	#late = 0;
 	#lateFirst = 0;
@@ -146,11 +153,11 @@
 			});
 		}
 
-		this.#schedule(REPORT_EVERY_MS, nowMs => {
-			this.#report(nowMs);
+		this.#schedule(LOAD_REPORT_INTERVAL_MS, nowMs => {
+			this.#reportLoads(nowMs);
 		});
-		this.#schedule(ROLE_TICK_MS, nowMs => {
-			this.#tickRoles(nowMs);
+		this.#schedule(ROLE_CHANGE_INTERVAL_MS, nowMs => {
+			this.#changeRoles(nowMs);
 		});
 		const untilMs = durationMs + TAIL_MS;
 		for (let next = this.#pop(); next && next.atMs <= untilMs; next = this.#pop()) {
@@ -159,7 +166,7 @@
 		}
 
 		return {
-			goodput: this.#good * 1000 / durationMs,
+			goodput: this.#onTime * 1000 / durationMs,
 			refused: this.#refused,
 			late: this.#late,
 			lateFirstTokens: this.#lateFirst,
@@ -172,7 +179,7 @@
 	#arrive(request: TraceRequest, nowMs: number): void {
 		this.#unanswered++;
 		this.#place({
-			request, startedMs: nowMs, gaps: [], firstMs: 0, lastMs: 0, tokens: 0, attempts: 0,
+			request, startedMs: nowMs, tokenGapsMs: [], firstTokenMs: 0, lastTokenAtMs: 0, tokens: 0, attempts: 0,
 		}, nowMs);
 	}
 
@@ -180,17 +187,17 @@
 		return this.#engines.filter(engine => engine.unavailableUntilMs <= nowMs && !this.#draining.has(engine));
 	}
 
-	#place(flight: Flight, nowMs: number): void {
+	#place(flight: InFlightRequest, nowMs: number): void {
 		flight.attempts++;
-		const suspected = this.#policy.detectsPoison ? judgeRequest({servers: this.#crashes.get(fingerprintOf(flight.request)) ?? []}) : 'clear';
-		if (suspected === 'poisoned' || flight.attempts > MAX_ATTEMPTS) {
+		const poisonState = this.#policy.detectsPoison ? judgeRequest({servers: this.#crashes.get(createFingerprint(flight.request)) ?? []}) : 'clear';
+		if (poisonState === 'poisoned' || flight.attempts > MAX_ATTEMPTS) {
 			this.#refuse();
 			return;
 		}
 
 		const usable = this.#usable(nowMs);
-		const allowed = suspected === 'suspect' ? usable.filter(engine => !this.#alone.has(engine)) : usable;
-		if (suspected === 'suspect' && allowed.length === 0) {
+		const allowed = poisonState === 'suspect' ? usable.filter(engine => !this.#enginesWithSuspect.has(engine)) : usable;
+		if (poisonState === 'suspect' && allowed.length === 0) {
 			flight.attempts--;
 			this.#schedule(nowMs + 50, laterMs => {
 				this.#place(flight, laterMs);
@@ -198,20 +205,20 @@
 			return;
 		}
 
-		const choice = this.#policy.place(flight.request, allowed, nowMs);
-		if (choice.type === 'refuse') {
+		const decision = this.#policy.place(flight.request, allowed, nowMs);
+		if (decision.type === 'refuse') {
 			this.#refuse();
 			return;
 		}
 
-		if (suspected === 'suspect') {
-			this.#alone.add(choice.engine);
+		if (poisonState === 'suspect') {
+			this.#enginesWithSuspect.add(decision.engine);
 		}
 
-		this.#submit(flight, choice.engine, {handsOff: choice.handsOff, imported: false}, nowMs);
+		this.#submit(flight, decision.engine, {handsOff: decision.handsOff, isImported: false}, nowMs);
 	}
 
-	#submit(flight: Flight, engine: SimulatedEngine, options: {handsOff: boolean; imported: boolean}, nowMs: number): void {
+	#submit(flight: InFlightRequest, engine: SimulatedEngine, options: {handsOff: boolean; isImported: boolean}, nowMs: number): void {
 		const id = this.#nextId++;
 		const {request} = flight;
 		this.#policy.recordSent?.(request, id, engine, nowMs);
@@ -220,7 +227,7 @@
 			promptTokens: request.promptTokens,
 			outputTokens: request.outputTokens,
 			blocks: listPrefixBlocks(request),
-			isImported: options.imported,
+			isImported: options.isImported,
 			handsOff: options.handsOff,
 			poison: request.poison ?? false,
 			offset: flight.tokens,
@@ -228,36 +235,36 @@
 				this.#onToken(flight, id, engine, atMs);
 			},
 			onEnd: (atMs, end, cachedBlocks) => {
-				this.#policy.recordEnd?.(request, id, engine, options.imported ? undefined : cachedBlocks);
+				this.#policy.recordEnd?.(request, id, engine, options.isImported ? undefined : cachedBlocks);
 				this.#onEnd(flight, engine, end, atMs);
 			},
 		};
 		engine.submit(job, nowMs);
 	}
 
-	#onToken(flight: Flight, id: number, engine: SimulatedEngine, nowMs: number): void {
-		const isFirstHere = flight.engine !== engine;
+	#onToken(flight: InFlightRequest, id: number, engine: SimulatedEngine, nowMs: number): void {
+		const isFirstFromEngine = flight.engine !== engine;
 		flight.engine = engine;
 		if (flight.tokens === 0) {
-			flight.firstMs = nowMs - flight.startedMs;
-			this.#policy.recordTimeliness?.(flight.request, flight.firstMs <= DEFAULT_TARGETS.firstTokenMs);
+			flight.firstTokenMs = nowMs - flight.startedMs;
+			this.#policy.recordTimeliness?.(flight.request, flight.firstTokenMs <= DEFAULT_TARGETS.firstTokenMs);
 		} else {
-			flight.gaps.push(nowMs - flight.lastMs);
+			flight.tokenGapsMs.push(nowMs - flight.lastTokenAtMs);
 		}
 
-		if (flight.gaps.length === 0 || isFirstHere) {
+		if (flight.tokenGapsMs.length === 0 || isFirstFromEngine) {
 			this.#policy.recordFirstToken?.(id, engine, nowMs);
 		}
 
 		flight.tokens++;
-		flight.lastMs = nowMs;
-		this.#alone.delete(engine);
+		flight.lastTokenAtMs = nowMs;
+		this.#enginesWithSuspect.delete(engine);
 	}
 
-	#onEnd(flight: Flight, engine: SimulatedEngine, end: 'complete' | 'handoff' | 'died', nowMs: number): void {
-		if (end === 'died') {
-			this.#alone.delete(engine);
-			const fingerprint = fingerprintOf(flight.request);
+	#onEnd(flight: InFlightRequest, engine: SimulatedEngine, end: 'complete' | 'handoff' | 'crashed', nowMs: number): void {
+		if (end === 'crashed') {
+			this.#enginesWithSuspect.delete(engine);
+			const fingerprint = createFingerprint(flight.request);
 			const crashes = this.#crashes.get(fingerprint) ?? [];
 			this.#crashes.set(fingerprint, [...crashes, `${engine.name}#${engine.crashCount}`]);
 			this.#schedule(nowMs, laterMs => {
@@ -267,24 +274,24 @@
 		}
 
 		if (end === 'handoff') {
-			const moveMs = MOVE_SETUP_MS + (flight.request.promptTokens / MOVE_TOKENS_PER_MS);
-			this.#schedule(nowMs + moveMs, laterMs => {
+			const transferMs = TRANSFER_SETUP_MS + (flight.request.promptTokens / TRANSFER_TOKENS_PER_MS);
+			this.#schedule(nowMs + transferMs, laterMs => {
 				this.#continue(flight, laterMs);
 			});
 			return;
 		}
 
 		this.#unanswered--;
-		const isOnTime = flight.firstMs <= DEFAULT_TARGETS.firstTokenMs && percentile(flight.gaps, 0.95) <= DEFAULT_TARGETS.betweenTokensMs;
-		this.#good += isOnTime ? 1 : 0;
+		const isOnTime = flight.firstTokenMs <= DEFAULT_TARGETS.firstTokenMs && percentile(flight.tokenGapsMs, 0.95) <= DEFAULT_TARGETS.betweenTokensMs;
+		this.#onTime += isOnTime ? 1 : 0;
 		this.#late += isOnTime ? 0 : 1;
-		this.#lateFirst += flight.firstMs > DEFAULT_TARGETS.firstTokenMs ? 1 : 0;
+		this.#lateFirst += flight.firstTokenMs > DEFAULT_TARGETS.firstTokenMs ? 1 : 0;
 	}
 
-	#continue(flight: Flight, nowMs: number): void {
+	#continue(flight: InFlightRequest, nowMs: number): void {
 		const engine = this.#policy.placeContinuation(flight.request, this.#usable(nowMs), nowMs);
 		if (engine) {
-			this.#submit(flight, engine, {handsOff: false, imported: true}, nowMs);
+			this.#submit(flight, engine, {handsOff: false, isImported: true}, nowMs);
 		} else {
 			this.#refuse();
 		}
@@ -302,55 +309,55 @@
 			return;
 		}
 
-		this.#whenIdle(engine, idleMs => {
+		this.#drain(engine, idleMs => {
 			engine.unavailableUntilMs = idleMs + event.forMs;
 		});
 	}
 
-	/** Keeps new work away and waits until nothing runs. */
-	#whenIdle(engine: SimulatedEngine, run: (nowMs: number) => void): void {
+	/** Drains an engine: sends it no new requests and calls back when it is idle. */
+	#drain(engine: SimulatedEngine, run: (nowMs: number) => void): void {
 		this.#draining.set(engine, engine.role);
-		const look = (nowMs: number) => {
+		const checkIdle = (nowMs: number) => {
 			if (engine.isIdle) {
 				this.#draining.delete(engine);
 				run(nowMs);
 				return;
 			}
 
-			this.#schedule(nowMs + 100, look);
+			this.#schedule(nowMs + 100, checkIdle);
 		};
 
-		look(this.#nowMs);
+		checkIdle(this.#nowMs);
 	}
 
-	#report(nowMs: number): void {
+	#reportLoads(nowMs: number): void {
 		const engines = this.#engines.filter(engine => engine.unavailableUntilMs <= nowMs);
 		this.#policy.recordLoadReports?.(engines, nowMs);
-		this.#schedule(nowMs + REPORT_EVERY_MS, laterMs => {
-			this.#report(laterMs);
+		this.#schedule(nowMs + LOAD_REPORT_INTERVAL_MS, laterMs => {
+			this.#reportLoads(laterMs);
 		});
 	}
 
-	#tickRoles(nowMs: number): void {
+	#changeRoles(nowMs: number): void {
 		for (const {engine, role} of this.#policy.changeRoles(this.#usable(nowMs), nowMs)) {
 			this.#roleChanges++;
-			this.#whenIdle(engine, idleMs => {
+			this.#drain(engine, idleMs => {
 				engine.changeRole(role, idleMs);
 			});
 		}
 
-		this.#schedule(nowMs + ROLE_TICK_MS, laterMs => {
-			this.#tickRoles(laterMs);
+		this.#schedule(nowMs + ROLE_CHANGE_INTERVAL_MS, laterMs => {
+			this.#changeRoles(laterMs);
 		});
 	}
 
 	#schedule(atMs: number, run: (nowMs: number) => void): void {
-		const item: Scheduled = {atMs, order: this.#order++, run};
-		const heap = this.#heap;
-		let index = heap.push(item) - 1;
+		const event: ScheduledEvent = {atMs, sequence: this.#nextSequence++, run};
+		const heap = this.#queue;
+		let index = heap.push(event) - 1;
 		while (index > 0) {
 			const parent = Math.floor((index - 1) / 2);
-			if (!isBefore(item, heap[parent]!)) {
+			if (!isBefore(event, heap[parent]!)) {
 				break;
 			}
 
@@ -358,11 +365,11 @@
 			index = parent;
 		}
 
-		heap[index] = item;
+		heap[index] = event;
 	}
 
-	#pop(): Scheduled | undefined {
-		const heap = this.#heap;
+	#pop(): ScheduledEvent | undefined {
+		const heap = this.#queue;
 		const top = heap[0];
 		const last = heap.pop();
 		if (!top || !last || heap.length === 0) {
@@ -389,7 +396,7 @@
 	}
 }
 
-function isBefore(a: Scheduled, b: Scheduled): boolean {
-	return a.atMs === b.atMs ? a.order < b.order : a.atMs < b.atMs;
+function isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
+	return a.atMs === b.atMs ? a.sequence < b.sequence : a.atMs < b.atMs;
 }
 
--- a/bench/policy/trace.ts
+++ b/bench/policy/trace.ts
@@ -1,5 +1,5 @@
 /**
- * Recorded traces: one JSON object a line, a header first; and their generator.
+ * Generates, writes and reads traces: JSON Lines files with a header line, then events and requests.
  *
  * Header: `{"trace", "seed", "engines", "durationMs", "expect"}`. Request: `{"atMs", "promptTokens", "outputTokens",
  * "prefix", "prefixTokens"}`. Event: `{"atMs", "event": "crash" | "withdraw", "engine", "forMs"}`.
@@ -12,10 +12,10 @@
 	readonly atMs: number;
 	readonly promptTokens: number;
 	readonly outputTokens: number;
-	/** Requests with the same number begin with the same text. */
+	/** Identifies the shared prefix: prompts with the same number start with the same text. */
 	readonly prefix: number;
 	readonly prefixTokens: number;
-	/** Whether it crashes engines. */
+	/** Whether the request crashes the engine that runs it. */
 	readonly poison?: boolean;
 };
 
@@ -23,7 +23,7 @@
 	readonly atMs: number;
 	readonly event: 'crash' | 'withdraw';
 	readonly engine: number;
-	/** How long the engine is away, milliseconds. */
+	/** How long the engine is unavailable, milliseconds. */
 	readonly forMs: number;
 };
 
@@ -32,7 +32,7 @@
 	readonly seed: number;
 	readonly engines: number;
 	readonly durationMs: number;
-	/** What must come of it. */
+	/** Expected outcome of the trace. */
 	readonly expect: {readonly enginesLost?: number; readonly poisonAnswered?: boolean};
 	readonly requests: readonly TraceRequest[];
 	readonly events: readonly TraceEvent[];
@@ -44,22 +44,22 @@
 const ENGINES = 8;
 const MINUTE_MS = 60_000;
 
-/** Requests a second of each kind at a moment. */
-type Mix = {
+/** Requests per second of each kind at a point in time. */
+type RequestMix = {
 	readonly summaries: number;
 	readonly comparisons: number;
 	readonly notices: number;
 };
 
-type Plan = {
+type TracePlan = {
 	readonly minutes: number;
-	readonly mixAt: (minute: number) => Mix;
+	readonly mixAt: (minute: number) => RequestMix;
 	readonly events?: readonly TraceEvent[];
 	readonly poisonAtMs?: readonly number[];
 	readonly expect?: Trace['expect'];
 };
 
-const PLANS: Readonly<Record<TraceName, Plan>> = {
+const PLANS: Readonly<Record<TraceName, TracePlan>> = {
 	steady: {
 		minutes: 4, mixAt: () => ({summaries: 10, comparisons: 14, notices: 2}),
 	},
@@ -129,7 +129,7 @@
 }
 
 /**
- * Writes a trace in the line format.
+ * Formats a trace as JSON Lines.
  *
  * @example
  * ```ts
@@ -142,7 +142,7 @@
 }
 
 /**
- * Reads a trace from the line format.
+ * Parses a trace in JSON Lines format.
  *
  * @example
  * ```ts
@@ -158,25 +158,26 @@
 	};
 }
 
-function drawRequest(mix: Mix, atMs: number, random: Random): TraceRequest {
+/** Draws the kind and the size of a request: a summary, a comparison or a notice. */
+function drawRequest(mix: RequestMix, atMs: number, random: Random): TraceRequest {
 	const draw = random() * (mix.summaries + mix.comparisons + mix.notices);
-	const spread = (mean: number) => Math.max(8, Math.round(mean * (0.5 + random())));
+	const drawTokens = (mean: number) => Math.max(8, Math.round(mean * (0.5 + random())));
 	if (draw < mix.summaries) {
-		// Delegates ask for the same few tracks: their prompts begin with the same text.
-		const promptTokens = spread(3200);
+		// Delegates request summaries of the same few tracks, so their prompts share a prefix.
+		const promptTokens = drawTokens(3200);
 		return {
-			atMs, promptTokens, outputTokens: spread(80), prefix: Math.floor(random() * 60), prefixTokens: Math.round(promptTokens * 0.6),
+			atMs, promptTokens, outputTokens: drawTokens(80), prefix: Math.floor(random() * 60), prefixTokens: Math.round(promptTokens * 0.6),
 		};
 	}
 
 	if (draw < mix.summaries + mix.comparisons) {
-		const promptTokens = spread(240);
+		const promptTokens = drawTokens(240);
 		return {
-			atMs, promptTokens, outputTokens: spread(280), prefix: 1000 + Math.floor(random() * 10), prefixTokens: Math.min(promptTokens, 64),
+			atMs, promptTokens, outputTokens: drawTokens(280), prefix: 1000 + Math.floor(random() * 10), prefixTokens: Math.min(promptTokens, 64),
 		};
 	}
 
 	return {
-		atMs, promptTokens: spread(700), outputTokens: spread(120), prefix: 2000, prefixTokens: 128,
+		atMs, promptTokens: drawTokens(700), outputTokens: drawTokens(120), prefix: 2000, prefixTokens: 128,
 	};
 }
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes of state, messages and processor time, from which `docs/CAPACITY.md` is worked out: each measured at four
- * sizes or more, with a line fitted through them and its residual.
+ * Measures how memory, message size and CPU time grow with the number of servers, resources, ledger entries and hosts.
+ * Each quantity is measured at four or more sizes and fitted by a line; `docs/CAPACITY.md` is derived from the slopes.
  *
  * @example
  * ```sh
@@ -32,11 +32,11 @@
 	options: {json: {type: 'boolean', default: false}, only: {type: 'string'}},
 });
 
-/** Keeps what is measured from being collected. */
-const kept: unknown[] = [];
-const ROUNDS_A_SECOND = 1000 / ROUND_MS;
+/** Keeps a measured value reachable, so that it is not garbage-collected before the heap is measured. */
+const retained: unknown[] = [];
+const ROUNDS_PER_SECOND = 1000 / ROUND_MS;
 
-slope('heap bytes per announced server, entry host', [200, 400, 800, 1600], count => heapOf(() => {
+measureSlope('heap bytes per announced server, entry host', [200, 400, 800, 1600], count => measureHeap(() => {
 	const directory = new Directory('h0');
 	const loads = new LoadTracker();
 	for (let index = 0; index < count; index++) {
@@ -49,34 +49,34 @@
 	return [directory, loads];
 }));
 
-slope('heap bytes per prefix block, entry host', [20_000, 40_000, 80_000, 160_000], count => heapOf(() => {
+measureSlope('heap bytes per prefix block, entry host', [20_000, 40_000, 80_000, 160_000], count => measureHeap(() => {
 	const index = new PrefixIndex(count);
 	index.note('server', Array.from({length: count}, (_, block) => (block * 7919) % 4_294_967_291));
 	return index;
 }));
 
-slope('heap bytes per resource, view of an entry host', [500, 1000, 2000, 4000], count => heapOf(() => {
+measureSlope('heap bytes per resource, view of an entry host', [500, 1000, 2000, 4000], count => measureHeap(() => {
 	const view = new View();
 	view.apply(createState(count).updateSince(-1));
 	return view;
 }));
 
-slope('heap bytes per resource, control replica', [500, 1000, 2000, 4000], count => heapOf(() => createState(count)));
+measureSlope('heap bytes per resource, control replica', [500, 1000, 2000, 4000], count => measureHeap(() => createState(count)));
 
-slope('heap bytes per ledger entry, control replica', [10_000, 20_000, 40_000, 80_000], count => heapOf(() => createLedger(count)));
+measureSlope('heap bytes per ledger entry, control replica', [10_000, 20_000, 40_000, 80_000], count => measureHeap(() => createLedger(count)));
 
-slope('snapshot bytes per ledger entry', [10_000, 20_000, 40_000, 80_000], count => encodeValue(createLedger(count).save()).length);
+measureSlope('snapshot bytes per ledger entry', [10_000, 20_000, 40_000, 80_000], count => encodeValue(createLedger(count).save()).length);
 
-slope('snapshot microseconds per ledger entry', [10_000, 20_000, 40_000, 80_000], count => {
+measureSlope('snapshot microseconds per ledger entry', [10_000, 20_000, 40_000, 80_000], count => {
 	const ledger = createLedger(count);
-	return cpuOf(() => encodeValue(ledger.save()), 5);
+	return measureCpu(() => encodeValue(ledger.save()), 5);
 });
 
-slope('leader microseconds per renewal of a view lease', [50, 100, 200, 380], count => {
+measureSlope('leader microseconds per renewal of a view lease', [50, 100, 200, 380], count => {
 	const controller = new Controller(0);
 	const state = createState(1200);
 	const frames = Array.from({length: count}, (_, index) => encodeFrame(createRenewal(index, state.viewVersion)).subarray(4));
-	return cpuOf(() => {
+	return measureCpu(() => {
 		for (const frame of frames) {
 			const message = decodeValue(frame) as Renew;
 			validate('Message', message);
@@ -86,7 +86,7 @@
 	}, 30);
 });
 
-slope('leader bytes per renewal, both ways', [50, 100, 200, 380], count => {
+measureSlope('leader bytes per renewal, both ways', [50, 100, 200, 380], count => {
 	const state = createState(10);
 	let bytes = 0;
 	for (let index = 0; index < count; index++) {
@@ -96,26 +96,26 @@
 	return bytes;
 });
 
-slope('leader microseconds per pushed change and host, 1,200 resources', [50, 100, 200, 380], count => {
+measureSlope('leader microseconds per pushed change and host, 1,200 resources', [50, 100, 200, 380], count => {
 	const state = createState(1200);
-	return cpuOf(() => {
+	return measureCpu(() => {
 		for (let host = 0; host < count; host++) {
 			encodeFrame(createRenewed(0, state.updateSince(state.viewVersion - 1)));
 		}
 	}, 30);
 });
 
-slope('microseconds per choice with so many engines of a model', [8, 50, 100, 200, 400], count => {
+measureSlope('microseconds per choice with so many engines of a model', [8, 50, 100, 200, 400], count => {
 	const random = createRandom(1);
 	const candidates = Array.from({length: count}, (_, index) => createCandidate(index));
-	return cpuOf(() => {
+	return measureCpu(() => {
 		for (let choice = 0; choice < 100; choice++) {
 			chooseEngine({promptTokens: 1000, outputTokens: 100, dataCentre: 'a'}, candidates, random);
 		}
 	}, 20) / 100;
 });
 
-slope('microseconds per admission with so many teams waiting', [50, 100, 200, 400], count => {
+measureSlope('microseconds per admission with so many teams waiting', [50, 100, 200, 400], count => {
 	const run = () => {
 		const admission = new Admission();
 		for (let index = 0; index < count; index++) {
@@ -125,12 +125,12 @@
 		}
 	};
 
-	return cpuOf(run, 10) / count;
+	return measureCpu(run, 10) / count;
 });
 
-slope('replica microseconds per claim and settlement applied', [1000, 2000, 4000, 8000], count => {
+measureSlope('replica microseconds per claim and settlement applied', [1000, 2000, 4000, 8000], count => {
 	const frames = Array.from({length: count}, (_, index) => createClaimPair(index).map(command => encodeValue(command)));
-	return cpuOf(() => {
+	return measureCpu(() => {
 		const state = new ControlState();
 		let index = 0;
 		for (const pair of frames) {
@@ -146,7 +146,7 @@
 	measureGossip();
 }
 
-/** Entry hosts' gossip in memory: the real directories, counted bytes, virtual rounds. */
+/** Simulates gossip between entry hosts with the production directories and measures bytes and CPU time per second and host. */
 function measureGossip(): void {
 	const bytes: Array<[number, number]> = [];
 	const cpu: Array<[number, number]> = [];
@@ -159,8 +159,8 @@
 		});
 	}
 
-	report('gossip bytes a second per host, by hosts (servers in proportion)', bytes);
-	report('gossip CPU milliseconds a second per host, by hosts', cpu);
+	printFit('gossip bytes a second per host, by hosts (servers in proportion)', bytes);
+	printFit('gossip CPU milliseconds a second per host, by hosts', cpu);
 }
 
 function runGossip(hosts: number, servers: number): {bytesPerSecond: number; cpuMsPerSecond: number; leavingMs: number} {
@@ -176,7 +176,7 @@
 		}
 
 		while (directory.takeRumors(1e9).length > 0) {
-			// What everybody knows at the start is not news.
+			// Discards the rumors of the initial facts, which every host already has.
 		}
 	}
 
@@ -186,7 +186,7 @@
 	let leavingMs = -1;
 	const startedCpu = process.cpuUsage();
 	for (let round = 0; round < rounds; round++) {
-		// Every server announces itself once in ten seconds, to any host.
+		// Each server announces itself every 50 rounds (ten seconds) to a random host.
 		for (let index = round % 50; index < servers; index += 50) {
 			sequence++;
 			const isLeaving = index === 0 && round >= 50;
@@ -194,18 +194,19 @@
 			directories[Math.floor(random() * hosts)]!.merge({type: 'server', announcement}, round * ROUND_MS);
 		}
 
-		bytes += spreadRound(directories, random, round);
+		bytes += runGossipRound(directories, random, round);
 		if (leavingMs < 0 && round >= 50 && directories.every(directory => directory.findServer('server-0')?.leaving === true)) {
 			leavingMs = (round - 50 + 1) * ROUND_MS;
 		}
 	}
 
 	const {user, system} = process.cpuUsage(startedCpu);
-	const seconds = rounds / ROUNDS_A_SECOND;
+	const seconds = rounds / ROUNDS_PER_SECOND;
 	return {bytesPerSecond: bytes / hosts / seconds, cpuMsPerSecond: (user + system) / 1000 / hosts / seconds, leavingMs};
 }
 
-function spreadRound(directories: readonly Directory[], random: () => number, round: number): number {
+/** Runs one gossip round of all hosts and returns the bytes sent. */
+function runGossipRound(directories: readonly Directory[], random: () => number, round: number): number {
 	let bytes = 0;
 	for (const [index, directory] of directories.entries()) {
 		const targets = shuffle([...directories.keys()], random).filter(other => other !== index).slice(0, FANOUT);
@@ -228,16 +229,17 @@
 	return bytes;
 }
 
-/** Measures at every size and fits a line. */
-function slope(subject: string, sizes: readonly number[], measure: (size: number) => number): void {
+/** Measures a quantity at every size and fits a line. */
+function measureSlope(subject: string, sizes: readonly number[], measure: (size: number) => number): void {
 	if (values.only !== undefined && !subject.includes(values.only)) {
 		return;
 	}
 
-	report(subject, sizes.map((size): [number, number] => [size, measure(size)]));
+	printFit(subject, sizes.map((size): [number, number] => [size, measure(size)]));
 }
 
-function report(subject: string, points: ReadonlyArray<readonly [number, number]>): void {
+/** Fits a line through points and prints it. */
+function printFit(subject: string, points: ReadonlyArray<readonly [number, number]>): void {
 	const fit = fitLine(points);
 	print({
 		subject, slope: roundToFourDigits(fit.slope), intercept: roundToFourDigits(fit.intercept), residual: roundToFourDigits(fit.residual), points: points.map(([size, value]) => `${size}:${roundToFourDigits(value)}`).join(' '),
@@ -248,34 +250,36 @@
 	console.log(values.json ? JSON.stringify(row) : Object.entries(row).map(([name, value]) => `${name} ${value}`).join(', '));
 }
 
-function heapOf(create: () => unknown): number {
-	collect();
+/** Returns how many bytes the heap grows by creating a value. */
+function measureHeap(create: () => unknown): number {
+	collectGarbage();
 	const before = process.memoryUsage().heapUsed;
 	const value = create();
-	collect();
+	collectGarbage();
 	const after = process.memoryUsage().heapUsed;
-	kept.push(value);
-	kept.length = 0;
+	retained.push(value);
+	retained.length = 0;
 	return after - before;
 }
 
-function collect(): void {
+/** Collects garbage; needs `--expose-gc`. */
+function collectGarbage(): void {
 	const {gc} = globalThis as {gc?: () => void};
 	gc?.();
 	gc?.();
 }
 
-/** Processor time of one run in microseconds, the least of several. */
-function cpuOf(run: () => void, repeats: number): number {
+/** Returns the duration of one run in microseconds: the shortest of several after a warm-up. */
+function measureCpu(run: () => void, repeats: number): number {
 	run();
-	let best = Number.POSITIVE_INFINITY;
+	let shortestMs = Number.POSITIVE_INFINITY;
 	for (let repeat = 0; repeat < repeats; repeat++) {
 		const startedMs = performance.now();
 		run();
-		best = Math.min(best, performance.now() - startedMs);
+		shortestMs = Math.min(shortestMs, performance.now() - startedMs);
 	}
 
-	return best * 1000;
+	return shortestMs * 1000;
 }
 
 function createAnnouncement(index: number, sequence: number): Announcement {
--- a/bench/statistics.ts
+++ b/bench/statistics.ts
@@ -1,10 +1,10 @@
 /**
- * Statistics of measured values.
+ * Percentiles, mean and deviation, and linear regression for benchmark results.
  *
  * @module
  */
 
-/** Percentiles of durations, milliseconds. */
+/** Percentiles of a set of durations. */
 export type DurationPercentiles = {
 	readonly p50Ms: number;
 	readonly p99Ms: number;
@@ -12,7 +12,7 @@
 };
 
 /**
- * Finds a percentile of values in any order.
+ * Returns a percentile of unsorted values; `share` is between 0 and 1.
  *
  * @example
  * ```ts
@@ -25,19 +25,19 @@
 }
 
 /**
- * Describes durations.
+ * Computes the percentiles of durations in milliseconds.
  *
  * @example
  * ```ts
  * describeTimes([1, 2, 3]).p50Ms; // 2
  * ```
  */
-export function summarizeDurations(times: readonly number[]): DurationPercentiles {
-	return {p50Ms: percentile(times, 0.5), p99Ms: percentile(times, 0.99), maxMs: percentile(times, 1)};
+export function summarizeDurations(durations: readonly number[]): DurationPercentiles {
+	return {p50Ms: percentile(durations, 0.5), p99Ms: percentile(durations, 0.99), maxMs: percentile(durations, 1)};
 }
 
 /**
- * Returns the mean and the standard deviation.
+ * Computes the mean and the population standard deviation.
  *
  * @example
  * ```ts
@@ -53,7 +53,7 @@
 export type LineFit = {
 	readonly slope: number;
 	readonly intercept: number;
-	/** Largest distance of a point from the line, as a share of the largest value. */
+	/** Largest vertical distance of a point from the line, as a fraction of the largest absolute value. */
 	readonly residual: number;
 };
 
@@ -73,8 +73,8 @@
 	const variance = points.reduce((sum, [x]) => sum + ((x - meanX) ** 2), 0);
 	const slope = covariance / variance;
 	const intercept = meanY - (slope * meanX);
-	const largest = Math.max(...points.map(([, y]) => Math.abs(y)), Number.EPSILON);
-	const residual = Math.max(...points.map(([x, y]) => Math.abs(y - (intercept + (slope * x))))) / largest;
+	const largestValue = Math.max(...points.map(([, y]) => Math.abs(y)), Number.EPSILON);
+	const residual = Math.max(...points.map(([x, y]) => Math.abs(y - (intercept + (slope * x))))) / largestValue;
 	return {slope, intercept, residual};
 }
 
