--- a/test/fixture.ts
+++ b/test/fixture.ts
@@ -1,5 +1,6 @@
 /**
- * One host with both roles, fake backend servers beside it, all in the test's process.
+ * Test fixture: one host with the roles control and entry and any number of fake backend servers, all in the test's
+ * process.
  *
  * @module
  */
@@ -18,12 +19,12 @@
 	readonly host: Host;
 	readonly settings: Settings;
 	put(kind: string, name: string, specification: Specification): Promise<Response>;
-	/** Starts a backend server and waits until the host uses it. */
+	/** Starts a backend server and waits until the host lists it. */
 	add<Server extends Backend>(create: (entries: readonly string[]) => Server): Promise<Server>;
 	stop(): Promise<void>;
 };
 
-/** Starts one host; whoever started it stops it. */
+/** Starts the host and waits until it is ready. The caller must stop the fixture. */
 export async function startFixture(extra: Partial<Settings> = {}): Promise<Fixture> {
 	const folder = await mkdtemp(path.join(os.tmpdir(), 'fixture-'));
 	const peerPort = await findPort();
@@ -61,7 +62,7 @@
 			await waitUntil(async () => {
 				const {servers} = await (await fetch(`${url}/api/v1/status`)).json() as {servers: Array<{server: string}>};
 				return servers.some(({server}) => server === backend.options.name);
-			}, `${backend.options.name} announced`);
+			}, `${backend.options.name} is listed`);
 			return backend;
 		},
 		async stop() {
--- a/test/layers.test.ts
+++ b/test/layers.test.ts
@@ -4,10 +4,10 @@
 import {test} from 'node:test';
 
 const ROOT = path.resolve(import.meta.dirname, '../..');
-/** From the lowest layer up; a folder imports only itself and what stands before it. */
+/** Folders of src/ from the lowest layer to the highest; a folder may import only itself and lower layers. */
 const LAYERS = ['generated', 'base', 'wire', 'consensus', 'routing', 'control', 'membership', 'serving', 'entry', 'daemon', 'tool'];
-/** Pure cores: no task, socket, file or timer of Node's in them. */
-const CORES = [
+/** Modules without I/O: they use no sockets, files or timers of Node.js. */
+const MODULES_WITHOUT_IO = [
 	'consensus/replica',
 	'consensus/log',
 	'consensus/configuration',
@@ -36,39 +36,39 @@
 	'membership/roster',
 	'serving/events',
 ];
-const ALLOWED_IN_CORES = new Set(['node:zlib', 'node:buffer']);
+const ALLOWED_NODE_MODULES = new Set(['node:zlib', 'node:buffer']);
 
-test('imports only look downward', async () => {
-	const wrong: string[] = [];
+test('folders import only themselves and lower layers', async () => {
+	const violations: string[] = [];
 	for (const {file, imports} of await readImports()) {
-		const own = file.split('/')[0]!;
+		const ownFolder = file.split('/')[0]!;
 		for (const target of imports.filter(name => name.startsWith('.'))) {
 			const folder = path.normalize(path.join(path.dirname(file), target)).split('/')[0]!;
-			if (LAYERS.indexOf(folder) > LAYERS.indexOf(own) || !LAYERS.includes(folder)) {
-				wrong.push(`${file} imports ${target}`);
+			if (LAYERS.indexOf(folder) > LAYERS.indexOf(ownFolder) || !LAYERS.includes(folder)) {
+				violations.push(`${file} imports ${target}`);
 			}
 		}
 	}
 
-	assert.deepEqual(wrong, []);
+	assert.deepEqual(violations, []);
 });
 
-test('the daemon and the tool do not import each other', async () => {
+test('the tool does not import the daemon', async () => {
 	const files = await readImports();
-	const wrong = files.filter(({file, imports}) => file.startsWith('tool/') && imports.some(name => name.includes('/daemon/')));
-	assert.deepEqual(wrong, []);
+	const violations = files.filter(({file, imports}) => file.startsWith('tool/') && imports.some(name => name.includes('/daemon/')));
+	assert.deepEqual(violations, []);
 });
 
-test('pure cores import no task', async () => {
+test('modules without I/O import only allowed Node.js modules', async () => {
 	const files = await readImports();
-	const wrong: string[] = [];
-	for (const core of CORES) {
-		const found = files.find(({file}) => file === `${core}.ts`);
-		assert.ok(found, `${core} exists`);
-		wrong.push(...found.imports.filter(name => name.startsWith('node:') && !ALLOWED_IN_CORES.has(name)).map(name => `${core} imports ${name}`));
+	const violations: string[] = [];
+	for (const module of MODULES_WITHOUT_IO) {
+		const found = files.find(({file}) => file === `${module}.ts`);
+		assert.ok(found, `${module} exists`);
+		violations.push(...found.imports.filter(name => name.startsWith('node:') && !ALLOWED_NODE_MODULES.has(name)).map(name => `${module} imports ${name}`));
 	}
 
-	assert.deepEqual(wrong, []);
+	assert.deepEqual(violations, []);
 });
 
 async function readImports() {
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -9,7 +9,7 @@
 const ROOT = path.resolve(import.meta.dirname, '../..');
 const execute = promisify(execFile);
 
-test('links between the pages lead somewhere', async () => {
+test('links in the documentation point to existing files', async () => {
 	for (const page of await listPages()) {
 		const text = await readFile(path.join(ROOT, page), 'utf8');
 		for (const [, target] of text.matchAll(/\]\((?!http)([^\)#]+)\)/gv)) {
@@ -19,7 +19,7 @@
 	}
 });
 
-test('scripts that the pages name exist', async () => {
+test('npm scripts named in the documentation exist', async () => {
 	const {scripts} = JSON.parse(await readFile(path.join(ROOT, 'package.json'), 'utf8')) as {scripts: Record<string, string>};
 	for (const page of await listPages()) {
 		const text = await readFile(path.join(ROOT, page), 'utf8');
@@ -29,7 +29,7 @@
 	}
 });
 
-test('short commands that the pages quote run as written', async () => {
+test('commands quoted in README.md run successfully as written', async () => {
 	const readme = await readFile(path.join(ROOT, 'README.md'), 'utf8');
 	for (const line of ['node dist/src/daemon/carawayhoistd.js --check examples/one-machine/host-1.json', 'node dist/src/tool/carawayhoist.js --help']) {
 		assert.ok(readme.includes(line));
@@ -38,19 +38,19 @@
 	}
 });
 
-test('every command of the tool that the pages name is in its help', async () => {
+test('every command of the tool that docs/operate/DAILY.md names is in its help', async () => {
 	const {stdout} = await execute(process.execPath, ['dist/src/tool/carawayhoist.js', '--help'], {cwd: ROOT});
-	const daily = await readFile(path.join(ROOT, 'docs/operate/DAILY.md'), 'utf8');
-	for (const [, command] of daily.matchAll(/`carawayhoist ([a-z]+)/gv)) {
+	const page = await readFile(path.join(ROOT, 'docs/operate/DAILY.md'), 'utf8');
+	for (const [, command] of page.matchAll(/`carawayhoist ([a-z]+)/gv)) {
 		assert.match(stdout, new RegExp(String.raw`carawayhoist ${command}\b`, 'v'));
 	}
 });
 
-test('every metric of the page is exported, and every exported one is on the page', async () => {
+test('docs/operate/METRICS.md lists exactly the metrics that src/entry/metrics.ts defines', async () => {
 	const source = await readFile(path.join(ROOT, 'src/entry/metrics.ts'), 'utf8');
 	const page = await readFile(path.join(ROOT, 'docs/operate/METRICS.md'), 'utf8');
-	const collect = (text: string) => [...new Set([...text.matchAll(/carawayhoist_[a-z_]+/gv)].map(([name]) => name))].toSorted();
-	assert.deepEqual(collect(page), collect(source));
+	const listMetrics = (text: string) => [...new Set([...text.matchAll(/carawayhoist_[a-z_]+/gv)].map(([name]) => name))].toSorted();
+	assert.deepEqual(listMetrics(page), listMetrics(source));
 });
 
 async function listPages(): Promise<string[]> {
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -5,13 +5,13 @@
 import {formatTrace, generateTrace, parseTrace} from '../bench/policy/trace.js';
 import {PROFILES} from '../src/routing/roles.js';
 
-test('a trace survives being written and read', () => {
+test('parsing a formatted trace returns the same trace', () => {
 	const trace = generateTrace('poison', 1);
 	assert.deepEqual(parseTrace(formatTrace(trace)), trace);
 });
 
 for (const name of ['poison', 'crash'] as const) {
-	test(`the stated outcome of the trace ${name} holds: engines lost, and every request answered or refused`, () => {
+	test(`trace ${name} loses the expected number of engines, and every request is completed or refused`, () => {
 		for (const seed of [1, 2]) {
 			const trace = generateTrace(name, seed);
 			const result = simulate(trace, new CarawayhoistPolicy(PROFILES.tallgrass, seed));
@@ -21,7 +21,7 @@
 	});
 }
 
-test('the same requests are all accounted for by the naive version too', () => {
+test('the naive policy loses more engines to poison, and every request is completed or refused', () => {
 	const result = simulate(generateTrace('poison', 1), new NaivePolicy());
 	assert.equal(result.unanswered, 0);
 	assert.ok(result.enginesLost > 2);
--- a/test/snapshot.ts
+++ b/test/snapshot.ts
@@ -1,7 +1,7 @@
 /**
- * Snapshots: the nearest kin to what Node's runner has only since version 22.
+ * Snapshot assertions; the test runner of Node.js has them only since version 22.
  *
- * `UPDATE_SNAPSHOTS=1 npm test` writes them anew.
+ * `UPDATE_SNAPSHOTS=1 npm test` rewrites the snapshot files.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 
 const FOLDER = path.resolve(import.meta.dirname, '../../test/snapshots');
 
-/** Compares a value with the snapshot of that name; a missing one fails. */
+/** Asserts that a value equals the named snapshot; fails if the snapshot does not exist. */
 export async function assertSnapshot(name: string, value: unknown): Promise<void> {
 	const file = path.join(FOLDER, `${name}.json`);
 	const text = `${JSON.stringify(value, undefined, '\t')}\n`;
--- a/test/stub.ts
+++ b/test/stub.ts
@@ -1,5 +1,5 @@
 /**
- * A backend server as the platform describes it, for tests: an engine that reads or makes tokens, or a plain service.
+ * Stub of a backend server that speaks the platform's protocol: an engine that prefills or decodes, or a plain server.
  *
  * @module
  */
@@ -11,11 +11,11 @@
 	readonly id: string;
 	readonly service: string;
 	readonly stage?: 'prefill' | 'decode';
-	/** Takes over the answer to a request; false to answer as usual. */
+	/** Handles a request instead of the stub; returns false to let the stub respond as usual. */
 	readonly intercept?: (request: IncomingMessage, response: ServerResponse, body: Buffer) => boolean;
 };
 
-/** A request that reached the server. */
+/** A request that the stub has received. */
 export type ReceivedRequest = {
 	readonly method: string;
 	readonly path: string;
@@ -23,9 +23,9 @@
 	readonly body: string;
 };
 
-const EVENTS = 4;
+const EVENTS_PER_STREAM = 4;
 
-/** A running stand-in. Whoever started it stops it. */
+/** A stub backend server. The caller that starts it must stop it. */
 export class StubBackend {
 	readonly receivedRequests: ReceivedRequest[] = [];
 	readonly orders: unknown[] = [];
@@ -34,7 +34,7 @@
 	readonly #server: http.Server;
 	readonly #handles = new Set<string>();
 	#sequence = 0;
-	readonly #born = Date.now();
+	readonly #startedAtMs = Date.now();
 
 	constructor(options: StubBackendOptions) {
 		this.#options = options;
@@ -43,7 +43,7 @@
 			const chunks: Buffer[] = [];
 			request.on('data', (chunk: Buffer) => chunks.push(chunk));
 			request.on('end', () => {
-				this.#answer(request, response, Buffer.concat(chunks));
+				this.#handle(request, response, Buffer.concat(chunks));
 			});
 		});
 	}
@@ -52,7 +52,7 @@
 		return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
 	}
 
-	/** Read prompts that were not taken or freed. */
+	/** Number of KV cache handles that were issued and not deleted. */
 	get openHandleCount(): number {
 		return this.#handles.size;
 	}
@@ -68,19 +68,20 @@
 		this.#server.closeAllConnections();
 	}
 
-	/** Announces itself; returns the status of the answer. */
+	/** Announces the server to a control host and returns the status code of the response. */
 	async announce(control: string, state = 'ready'): Promise<number> {
 		const engine = this.stage === undefined ? {} : {stage: this.stage, models: [{name: 'm', version: 1, adapters: []}]};
 		const response = await fetch(`http://${control}/-/instances/${this.#options.id}`, {
 			method: 'PUT',
 			body: JSON.stringify({
-				service: this.#options.service, address: this.address, zone: 'a', version: 'v1', slots: 8, state, 'cold-remaining-ms': 0, sequence: ++this.#sequence, born: this.#born, ...engine,
+				service: this.#options.service, address: this.address, zone: 'a', version: 'v1', slots: 8, state, 'cold-remaining-ms': 0, sequence: ++this.#sequence, born: this.#startedAtMs, ...engine,
 			}),
 		});
 		return response.status;
 	}
 
-	#answer(request: IncomingMessage, response: ServerResponse, body: Buffer): void {
+	/** Handles orders, handle deletions and attempts; rejects attempts that expect another instance. */
+	#handle(request: IncomingMessage, response: ServerResponse, body: Buffer): void {
 		const {method = '', url = ''} = request;
 		if (url === '/-/order') {
 			const order = JSON.parse(body.toString()) as {stage: string};
@@ -106,11 +107,12 @@
 			method, path: url, headers: request.headers, body: body.toString(),
 		});
 		if (this.#options.intercept?.(request, response, body) !== true) {
-			this.#serve(request, response);
+			this.#respond(request, response);
 		}
 	}
 
-	#serve(request: IncomingMessage, response: ServerResponse): void {
+	/** Responds to an attempt as the current stage does. */
+	#respond(request: IncomingMessage, response: ServerResponse): void {
 		const id = String(request.headers['carawayhoist-attempt-id']);
 		const headers = {'carawayhoist-attempt-id': id, 'carawayhoist-server-stamp': `${this.#options.id}.${id}`};
 		if (this.stage === undefined) {
@@ -132,7 +134,7 @@
 
 		const from = Number(request.headers['last-event-id'] ?? 0);
 		response.writeHead(200, {...headers, 'content-type': 'text/event-stream'});
-		for (let event = from + 1; event <= EVENTS; event++) {
+		for (let event = from + 1; event <= EVENTS_PER_STREAM; event++) {
 			response.write(`id: ${event}\ndata: ${id} ${event}\n\n`);
 		}
 
