--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -86,7 +86,7 @@
 	readonly initialRole = (index: number): EngineRole => index % 2 === 0 ? 'prefill' : 'decode';
 
 	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): PolicyDecision {
-		noteDemand(this.#meter, request, nowMs);
+		recordDemand(this.#meter, request, nowMs);
 		this.#next++;
 		this.#host = this.#hosts[this.#next % this.#hosts.length]!;
 		const preferredRole = request.promptTokens > 1000 ? 'prefill' : 'decode';
@@ -208,7 +208,7 @@
 	readonly initialRole = (index: number): EngineRole => this.#features.roles ? (index % 2 === 0 ? 'prefill' : 'decode') : 'mixed';
 
 	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): PolicyDecision {
-		noteDemand(this.#meter, request, nowMs);
+		recordDemand(this.#meter, request, nowMs);
 		this.#next++;
 		this.#host = this.#hosts[this.#next % this.#hosts.length]!;
 		const description = this.#describeRequest(request);
@@ -341,14 +341,14 @@
  *
  * @example
  * ```ts
- * blocksOf({prefix: 3, prefixTokens: 130, …}); // two blocks
+ * listPrefixBlocks({prefix: 3, prefixTokens: 130, …}); // two blocks
  * ```
  */
 export function listPrefixBlocks(request: TraceRequest): number[] {
 	return Array.from({length: Math.floor(request.prefixTokens / 64)}, (_, index) => (request.prefix * 10_000) + index);
 }
 
-function noteDemand(meter: DemandMeter, request: TraceRequest, nowMs: number): void {
+function recordDemand(meter: DemandMeter, request: TraceRequest, nowMs: number): void {
 	const {prefillMs, decodeMs} = estimateWork(request, ENGINE_SPEED);
 	meter.note(prefillMs, decodeMs, nowMs);
 }
--- a/bench/policy/simulation.ts
+++ b/bench/policy/simulation.ts
@@ -73,11 +73,12 @@
  *
  * @example
  * ```ts
- * boundGoodput(generateTrace('overload', 1));
+ * computeGoodputBound(generateTrace('overload', 1));
  * ```
  */
 export function computeGoodputBound(trace: Trace): number {
 	const windowMs = 30_000;
+	// Requests may finish after their window: slack for the first token and the longest output, 1.5 * 280 tokens.
 	const slackMs = DEFAULT_TARGETS.firstTokenMs + (420 * DEFAULT_TARGETS.betweenTokensMs);
 	let good = 0;
 	for (let start = 0; start < trace.durationMs; start += windowMs) {
@@ -123,7 +124,7 @@
 	#onTime = 0;
 	#refused = 0;
 	#late = 0;
-	#lateFirst = 0;
+	#lateFirstTokens = 0;
 	#roleChanges = 0;
 	#unanswered = 0;
 
@@ -143,7 +144,7 @@
 		const {requests, events, durationMs} = this.#trace;
 		for (const request of requests) {
 			this.#schedule(request.atMs, nowMs => {
-				this.#arrive(request, nowMs);
+				this.#onArrival(request, nowMs);
 			});
 		}
 
@@ -169,43 +170,43 @@
 			goodput: this.#onTime * 1000 / durationMs,
 			refused: this.#refused,
 			late: this.#late,
-			lateFirstTokens: this.#lateFirst,
+			lateFirstTokens: this.#lateFirstTokens,
 			roleChanges: this.#roleChanges,
 			enginesLost: this.#engines.reduce((sum, engine) => sum + engine.crashCount, 0),
 			unanswered: this.#unanswered,
 		};
 	}
 
-	#arrive(request: TraceRequest, nowMs: number): void {
+	#onArrival(request: TraceRequest, nowMs: number): void {
 		this.#unanswered++;
 		this.#place({
 			request, startedMs: nowMs, tokenGapsMs: [], firstTokenMs: 0, lastTokenAtMs: 0, tokens: 0, attempts: 0,
 		}, nowMs);
 	}
 
-	#usable(nowMs: number): SimulatedEngine[] {
+	#listUsableEngines(nowMs: number): SimulatedEngine[] {
 		return this.#engines.filter(engine => engine.unavailableUntilMs <= nowMs && !this.#draining.has(engine));
 	}
 
-	#place(flight: InFlightRequest, nowMs: number): void {
-		flight.attempts++;
-		const poisonState = this.#policy.detectsPoison ? judgeRequest({servers: this.#crashes.get(createFingerprint(flight.request)) ?? []}) : 'clear';
-		if (poisonState === 'poisoned' || flight.attempts > MAX_ATTEMPTS) {
+	#place(inFlight: InFlightRequest, nowMs: number): void {
+		inFlight.attempts++;
+		const poisonState = this.#policy.detectsPoison ? judgeRequest({servers: this.#crashes.get(createFingerprint(inFlight.request)) ?? []}) : 'clear';
+		if (poisonState === 'poisoned' || inFlight.attempts > MAX_ATTEMPTS) {
 			this.#refuse();
 			return;
 		}
 
-		const usable = this.#usable(nowMs);
+		const usable = this.#listUsableEngines(nowMs);
 		const allowed = poisonState === 'suspect' ? usable.filter(engine => !this.#enginesWithSuspect.has(engine)) : usable;
 		if (poisonState === 'suspect' && allowed.length === 0) {
-			flight.attempts--;
+			inFlight.attempts--;
 			this.#schedule(nowMs + 50, laterMs => {
-				this.#place(flight, laterMs);
+				this.#place(inFlight, laterMs);
 			});
 			return;
 		}
 
-		const decision = this.#policy.place(flight.request, allowed, nowMs);
+		const decision = this.#policy.place(inFlight.request, allowed, nowMs);
 		if (decision.type === 'refuse') {
 			this.#refuse();
 			return;
@@ -215,12 +216,12 @@
 			this.#enginesWithSuspect.add(decision.engine);
 		}
 
-		this.#submit(flight, decision.engine, {handsOff: decision.handsOff, isImported: false}, nowMs);
+		this.#submit(inFlight, decision.engine, {handsOff: decision.handsOff, isImported: false}, nowMs);
 	}
 
-	#submit(flight: InFlightRequest, engine: SimulatedEngine, options: {handsOff: boolean; isImported: boolean}, nowMs: number): void {
+	#submit(inFlight: InFlightRequest, engine: SimulatedEngine, options: {handsOff: boolean; isImported: boolean}, nowMs: number): void {
 		const id = this.#nextId++;
-		const {request} = flight;
+		const {request} = inFlight;
 		this.#policy.recordSent?.(request, id, engine, nowMs);
 		const job: EngineJob = {
 			id,
@@ -230,68 +231,68 @@
 			isImported: options.isImported,
 			handsOff: options.handsOff,
 			poison: request.poison ?? false,
-			offset: flight.tokens,
+			offset: inFlight.tokens,
 			onToken: atMs => {
-				this.#onToken(flight, id, engine, atMs);
+				this.#onToken(inFlight, id, engine, atMs);
 			},
 			onEnd: (atMs, end, cachedBlocks) => {
 				this.#policy.recordEnd?.(request, id, engine, options.isImported ? undefined : cachedBlocks);
-				this.#onEnd(flight, engine, end, atMs);
+				this.#onEnd(inFlight, engine, end, atMs);
 			},
 		};
 		engine.submit(job, nowMs);
 	}
 
-	#onToken(flight: InFlightRequest, id: number, engine: SimulatedEngine, nowMs: number): void {
-		const isFirstFromEngine = flight.engine !== engine;
-		flight.engine = engine;
-		if (flight.tokens === 0) {
-			flight.firstTokenMs = nowMs - flight.startedMs;
-			this.#policy.recordTimeliness?.(flight.request, flight.firstTokenMs <= DEFAULT_TARGETS.firstTokenMs);
+	#onToken(inFlight: InFlightRequest, id: number, engine: SimulatedEngine, nowMs: number): void {
+		const isFirstFromEngine = inFlight.engine !== engine;
+		inFlight.engine = engine;
+		if (inFlight.tokens === 0) {
+			inFlight.firstTokenMs = nowMs - inFlight.startedMs;
+			this.#policy.recordTimeliness?.(inFlight.request, inFlight.firstTokenMs <= DEFAULT_TARGETS.firstTokenMs);
 		} else {
-			flight.tokenGapsMs.push(nowMs - flight.lastTokenAtMs);
+			inFlight.tokenGapsMs.push(nowMs - inFlight.lastTokenAtMs);
 		}
 
-		if (flight.tokenGapsMs.length === 0 || isFirstFromEngine) {
+		if (inFlight.tokenGapsMs.length === 0 || isFirstFromEngine) {
 			this.#policy.recordFirstToken?.(id, engine, nowMs);
 		}
 
-		flight.tokens++;
-		flight.lastTokenAtMs = nowMs;
+		inFlight.tokens++;
+		inFlight.lastTokenAtMs = nowMs;
 		this.#enginesWithSuspect.delete(engine);
 	}
 
-	#onEnd(flight: InFlightRequest, engine: SimulatedEngine, end: 'complete' | 'handoff' | 'crashed', nowMs: number): void {
+	#onEnd(inFlight: InFlightRequest, engine: SimulatedEngine, end: 'complete' | 'handoff' | 'crashed', nowMs: number): void {
 		if (end === 'crashed') {
 			this.#enginesWithSuspect.delete(engine);
-			const fingerprint = createFingerprint(flight.request);
+			const fingerprint = createFingerprint(inFlight.request);
 			const crashes = this.#crashes.get(fingerprint) ?? [];
 			this.#crashes.set(fingerprint, [...crashes, `${engine.name}#${engine.crashCount}`]);
 			this.#schedule(nowMs, laterMs => {
-				this.#place(flight, laterMs);
+				this.#place(inFlight, laterMs);
 			});
 			return;
 		}
 
 		if (end === 'handoff') {
-			const transferMs = TRANSFER_SETUP_MS + (flight.request.promptTokens / TRANSFER_TOKENS_PER_MS);
+			const transferMs = TRANSFER_SETUP_MS + (inFlight.request.promptTokens / TRANSFER_TOKENS_PER_MS);
 			this.#schedule(nowMs + transferMs, laterMs => {
-				this.#continue(flight, laterMs);
+				this.#placeContinuation(inFlight, laterMs);
 			});
 			return;
 		}
 
 		this.#unanswered--;
-		const isOnTime = flight.firstTokenMs <= DEFAULT_TARGETS.firstTokenMs && percentile(flight.tokenGapsMs, 0.95) <= DEFAULT_TARGETS.betweenTokensMs;
+		const isOnTime = inFlight.firstTokenMs <= DEFAULT_TARGETS.firstTokenMs && percentile(inFlight.tokenGapsMs, 0.95) <= DEFAULT_TARGETS.betweenTokensMs;
 		this.#onTime += isOnTime ? 1 : 0;
 		this.#late += isOnTime ? 0 : 1;
-		this.#lateFirst += flight.firstTokenMs > DEFAULT_TARGETS.firstTokenMs ? 1 : 0;
+		this.#lateFirstTokens += inFlight.firstTokenMs > DEFAULT_TARGETS.firstTokenMs ? 1 : 0;
 	}
 
-	#continue(flight: InFlightRequest, nowMs: number): void {
-		const engine = this.#policy.placeContinuation(flight.request, this.#usable(nowMs), nowMs);
+	#placeContinuation(inFlight: InFlightRequest, nowMs: number): void {
+		const engine = this.#policy.placeContinuation(inFlight.request, this.#listUsableEngines(nowMs), nowMs);
 		if (engine) {
-			this.#submit(flight, engine, {handsOff: false, isImported: true}, nowMs);
+			this.#submit(inFlight, engine, {handsOff: false, isImported: true}, nowMs);
 		} else {
 			this.#refuse();
 		}
@@ -339,7 +340,7 @@
 	}
 
 	#changeRoles(nowMs: number): void {
-		for (const {engine, role} of this.#policy.changeRoles(this.#usable(nowMs), nowMs)) {
+		for (const {engine, role} of this.#policy.changeRoles(this.#listUsableEngines(nowMs), nowMs)) {
 			this.#roleChanges++;
 			this.#drain(engine, idleMs => {
 				engine.changeRole(role, idleMs);
--- a/bench/statistics.ts
+++ b/bench/statistics.ts
@@ -29,7 +29,7 @@
  *
  * @example
  * ```ts
- * describeTimes([1, 2, 3]).p50Ms; // 2
+ * summarizeDurations([1, 2, 3]).p50Ms; // 2
  * ```
  */
 export function summarizeDurations(durations: readonly number[]): DurationPercentiles {
@@ -41,7 +41,7 @@
  *
  * @example
  * ```ts
- * describeSpread([1, 3]); // {mean: 2, deviation: 1}
+ * computeSpread([1, 3]); // {mean: 2, deviation: 1}
  * ```
  */
 export function computeSpread(values: readonly number[]): {readonly mean: number; readonly deviation: number} {
@@ -83,7 +83,7 @@
  *
  * @example
  * ```ts
- * round(0.0123456); // 0.01235
+ * roundToFourDigits(0.0123456); // 0.01235
  * ```
  */
 export function roundToFourDigits(value: number): number {
--- a/dev/fuzz/control.ts
+++ b/dev/fuzz/control.ts
@@ -84,7 +84,7 @@
 		return this.replica?.role === 'leader' && this.process.isAlive;
 	}
 
-	/** Whether it is the leader, has applied all committed entries, and no other leader can exist yet. */
+	/** Whether it is the leader, knows all committed entries, and no other leader can exist yet. */
 	get holdsLeaderLease(): boolean {
 		const {nowMs} = this.#context.simulator;
 		return this.isLeader && this.replica!.isLeaderReady && this.replica!.leaseUntilMs(nowMs) > nowMs;
@@ -406,10 +406,10 @@
 		}
 	}
 
-	#completeRead(id: number, answer: Either.Either<'not-leader' | 'unknown', ControlState>): void {
+	#completeRead(id: number, result: Either.Either<'not-leader' | 'unknown', ControlState>): void {
 		const reply = this.#pendingReads.get(id);
 		this.#pendingReads.delete(id);
-		reply?.(answer);
+		reply?.(result);
 	}
 
 	#send(to: Member, body: ConsensusBody): void {
--- a/dev/fuzz/entry.ts
+++ b/dev/fuzz/entry.ts
@@ -43,12 +43,13 @@
 	readonly #context: EntryContext;
 	readonly #announcements = new Map<string, Announcement>();
 	readonly #running = new Map<string, number>();
+	/** Identifies this start of the host; also prefixes the names of its attempts. */
 	#boot = '';
 	#starts = 0;
 	#nextAttempt = 1;
 	#leader: string | undefined;
 	#leaseUntilMs = 0;
-	#hasRead = false;
+	#hasInitialView = false;
 
 	constructor(context: EntryContext, host: string) {
 		this.#context = context;
@@ -59,7 +60,7 @@
 	}
 
 	get isReady(): boolean {
-		return this.process.isAlive && this.#hasRead;
+		return this.process.isAlive && this.#hasInitialView;
 	}
 
 	kill(): void {
@@ -70,7 +71,7 @@
 		if (!this.process.isAlive) {
 			this.process.isAlive = true;
 			this.view = this.#createView();
-			this.#hasRead = false;
+			this.#hasInitialView = false;
 			this.#leaseUntilMs = 0;
 			this.#running.clear();
 			this.#start();
@@ -171,7 +172,7 @@
 				return;
 			}
 
-			this.#hasRead = true;
+			this.#hasInitialView = true;
 			this.#apply(update);
 			this.#renew();
 		});
--- a/dev/fuzz/mutations.ts
+++ b/dev/fuzz/mutations.ts
@@ -32,7 +32,7 @@
  *
  * @example
  * ```ts
- * consensusMechanisms('vote-not-kept').hardStateKept; // false
+ * createConsensusMechanisms('vote-not-kept').hardStateKept; // false
  * ```
  */
 export function createConsensusMechanisms(mutation: Mutation | undefined): Mechanisms {
@@ -54,7 +54,7 @@
  *
  * @example
  * ```ts
- * orderMechanisms('no-read-back').readBack; // false
+ * createOrderMechanisms('no-read-back').readBack; // false
  * ```
  */
 export function createOrderMechanisms(mutation: Mutation | undefined): OrderMechanisms {
--- a/dev/fuzz/run.ts
+++ b/dev/fuzz/run.ts
@@ -40,7 +40,7 @@
 const WORK_DRAIN_MS = 17_000;
 
 /**
- * Runs one schedule.
+ * Runs the schedule of a seed and returns its counters, its trace and the first violation, if any.
  *
  * @example
  * ```ts
@@ -54,8 +54,8 @@
 
 /** Size of the fleet and frequency of each kind of fault in a run; drawn at random for each run. */
 type FaultProfile = {
-	readonly controls: number;
-	readonly faultEveryMs: number;
+	readonly controlCount: number;
+	readonly meanFaultIntervalMs: number;
 	readonly killWeight: number;
 	readonly wipeWeight: number;
 	readonly pauseWeight: number;
@@ -65,7 +65,7 @@
 	readonly entriesPerAppend: number;
 	/** Probability that a new leader is killed right after its election. */
 	readonly leaderKillProbability: number;
-	/** Probability that a new leader can reach only a minority of the others from its election on. */
+	/** Probability that a new leader can reach at most half of the others from its election on. */
 	readonly leaderIsolationProbability: number;
 	/** Probability of a long pause of the leader each time it is found with an open order or sends one. */
 	readonly orderPauseProbability: number;
@@ -86,7 +86,7 @@
 	readonly #entries: EntryProcess[] = [];
 	/** Idempotency keys of bookings whose callers have no definite response. */
 	readonly #unansweredKeys = new Set<string>();
-	/** Leaders that have been partitioned from a majority since their election. */
+	/** Leaders that have been partitioned from at least half of the others since their election. */
 	readonly #isolatedLeaders = new Set<ControlProcess>();
 	#nextKey = 1;
 	#nextPut = 1;
@@ -98,7 +98,7 @@
 		this.#random = createRandom((seed * 7919) + 13);
 		this.#simulator = new Simulator(this.#random);
 		this.#profile = this.#drawFaultProfile();
-		const configuration = createConfiguration(this.#profile.controls);
+		const configuration = createConfiguration(this.#profile.controlCount);
 		this.#checker = new InvariantChecker(configuration, mutation);
 		const context = {
 			simulator: this.#simulator, checker: this.#checker, mutation, controls: this.#controls, engines: this.#engines, plainServers: this.#plainServers, maxEntriesPerAppend: this.#profile.entriesPerAppend, timing: this.#profile.timing, onLeader: (control: ControlProcess) => {
@@ -155,8 +155,8 @@
 		// In these runs leaders change quickly, which leaves entries of many terms on a few replicas each.
 		const isElectionRun = !isOrderRun && this.#random() < 0.25;
 		return {
-			controls: this.#random() < 0.6 && !isElectionRun ? 3 : 5,
-			faultEveryMs: (isOrderRun ? 3000 : 150) + draw(900),
+			controlCount: this.#random() < 0.6 && !isElectionRun ? 3 : 5,
+			meanFaultIntervalMs: (isOrderRun ? 3000 : 150) + draw(900),
 			killWeight: draw(4),
 			wipeWeight: draw(2),
 			pauseWeight: draw(3),
@@ -333,7 +333,7 @@
 	}
 
 	/**
-	 * Partitions a new leader from all but a minority of the others, and later ends the partition or kills the leader.
+	 * Partitions a new leader from at least half of the others, and later ends the partition or kills the leader.
 	 * This leaves entries of many terms on a few replicas each.
 	 */
 	#isolateLeader(control: ControlProcess): void {
@@ -466,7 +466,7 @@
 			return;
 		}
 
-		this.#simulator.schedule(this.#profile.faultEveryMs * (0.3 + (this.#random() * 1.4)), () => {
+		this.#simulator.schedule(this.#profile.meanFaultIntervalMs * (0.3 + (this.#random() * 1.4)), () => {
 			if (!this.#isRecovering) {
 				this.#injectFault();
 				if (this.#random() < 0.25) {
@@ -523,11 +523,11 @@
 				control.restart();
 			},
 		}));
-		const others = [...this.#engines.values(), ...this.#plainServers, ...this.#entries].map(one => ({
-			process: one.process, kill() {
-				one.kill();
+		const others = [...this.#engines.values(), ...this.#plainServers, ...this.#entries].map(target => ({
+			process: target.process, kill() {
+				target.kill();
 			}, restart() {
-				one.restart();
+				target.restart();
 			},
 		}));
 		return [...controls, ...controls, ...others];
@@ -538,7 +538,7 @@
 		const voters = this.#listVoters();
 		const intact = [...this.#controls.values()].filter(control => voters.has(control.identity));
 		const control = pick(intact, this.#random);
-		const isReconfiguring = [...this.#controls.values()].some(one => !voters.has(one.identity) || one.reconfiguration);
+		const isReconfiguring = [...this.#controls.values()].some(other => !voters.has(other.identity) || other.reconfiguration);
 		if (control?.process.isAlive && !isReconfiguring && voters.size === this.#controls.size) {
 			this.#recordFault('wipe', control.host);
 			control.kill({wipe: true});
