--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -15,12 +15,12 @@
 import {Controller} from '../src/control/controller.js';
 import {Ledger} from '../src/control/ledger.js';
 import {ControlState} from '../src/control/state.js';
-import {View} from '../src/entry/view.js';
+import {ResourceView} from '../src/entry/view.js';
 import type {
 	Announcement, Command, Fact, Gossip, Message, Renew,
 } from '../src/generated/types.js';
 import {Directory} from '../src/membership/directory.js';
-import {FANOUT, MAX_RUMOR_BYTES, ROUND_MS} from '../src/membership/gossip.js';
+import {FANOUT, MAX_RUMOR_BYTES, ROUND_INTERVAL_MS} from '../src/membership/gossip.js';
 import {chooseEngine, DEFAULT_SPEED, type Candidate} from '../src/routing/choice.js';
 import {Admission} from '../src/routing/limit.js';
 import {LoadTracker} from '../src/routing/load.js';
@@ -34,7 +34,7 @@
 
 /** Keeps what is measured from being collected. */
 const kept: unknown[] = [];
-const ROUNDS_A_SECOND = 1000 / ROUND_MS;
+const ROUNDS_A_SECOND = 1000 / ROUND_INTERVAL_MS;
 
 slope('heap bytes per announced server, entry host', [200, 400, 800, 1600], count => heapOf(() => {
 	const directory = new Directory('h0');
@@ -56,7 +56,7 @@
 }));
 
 slope('heap bytes per resource, view of an entry host', [500, 1000, 2000, 4000], count => heapOf(() => {
-	const view = new View();
+	const view = new ResourceView();
 	view.apply(createState(count).updateSince(-1));
 	return view;
 }));
@@ -191,12 +191,12 @@
 			sequence++;
 			const isLeaving = index === 0 && round >= 50;
 			const announcement = {...createAnnouncement(index, sequence), ...(isLeaving ? {leaving: true} : {})};
-			directories[Math.floor(random() * hosts)]!.merge({type: 'server', announcement}, round * ROUND_MS);
+			directories[Math.floor(random() * hosts)]!.merge({type: 'server', announcement}, round * ROUND_INTERVAL_MS);
 		}
 
 		bytes += spreadRound(directories, random, round);
 		if (leavingMs < 0 && round >= 50 && directories.every(directory => directory.findServer('server-0')?.leaving === true)) {
-			leavingMs = (round - 50 + 1) * ROUND_MS;
+			leavingMs = (round - 50 + 1) * ROUND_INTERVAL_MS;
 		}
 	}
 
@@ -220,7 +220,7 @@
 			const message = decodeValue(frame.subarray(4)) as Gossip;
 			validate('Message', message);
 			for (const fact of message.facts) {
-				directories[target]!.merge(fact, round * ROUND_MS);
+				directories[target]!.merge(fact, round * ROUND_INTERVAL_MS);
 			}
 		}
 	}
--- a/dev/fuzz/entry.ts
+++ b/dev/fuzz/entry.ts
@@ -9,7 +9,7 @@
 import type {
 	Announcement, Command, LedgerAnswer, Outcome, Renew, ViewUpdate,
 } from '../../src/generated/types.js';
-import {View} from '../../src/entry/view.js';
+import {ResourceView} from '../../src/entry/view.js';
 import type {FakeEngineProcess, FakePlainProcess} from './backend.js';
 import type {Checks, Told} from './checks.js';
 import type {ControlProcess, Reply} from './control.js';
@@ -38,7 +38,7 @@
 export class EntryProcess {
 	readonly process: Process;
 	readonly host: string;
-	view: View;
+	view: ResourceView;
 	readonly #context: EntryContext;
 	readonly #announcements = new Map<string, Announcement>();
 	readonly #running = new Map<string, number>();
@@ -140,13 +140,13 @@
 		}, reply);
 	}
 
-	#createView(): View {
+	#createView(): ResourceView {
 		if (this.#context.mutation !== 'stale-view-applied') {
-			return new View();
+			return new ResourceView();
 		}
 
 		// A view that takes every update to be newer.
-		const view = new View();
+		const view = new ResourceView();
 		const apply = view.apply.bind(view);
 		view.apply = update => update.version < view.version ? replaceView(view, update) : apply(update);
 		return view;
@@ -179,7 +179,7 @@
 	#renew(): void {
 		const {world} = this.#context;
 		const askedMs = world.nowMs;
-		const servers = this.view.listChanging();
+		const servers = this.view.listChangingServers();
 		const message: Renew = {
 			type: 'renew',
 			id: 1,
@@ -370,8 +370,8 @@
 }
 
 /** Applies an older update as if it were whole and new. */
-function replaceView(view: View, update: ViewUpdate): boolean {
-	const fresh = new View();
+function replaceView(view: ResourceView, update: ViewUpdate): boolean {
+	const fresh = new ResourceView();
 	fresh.apply({...update, from: -1});
 	Object.defineProperty(view, 'version', {get: () => fresh.version, configurable: true});
 	view.list = fresh.list.bind(fresh);
--- a/src/daemon/carawayhoistd.ts
+++ b/src/daemon/carawayhoistd.ts
@@ -10,7 +10,7 @@
 import {createLoggers} from '../base/logger.js';
 import {createProblem, type Problem} from '../base/problem.js';
 import {VERSION} from '../base/version.js';
-import {formatHost} from '../entry/engine.js';
+import {formatUrlHost} from '../entry/engine.js';
 import {Host} from './host.js';
 import {readSettings, type SettingsFailure} from './settings.js';
 
@@ -115,7 +115,7 @@
 	}
 
 	const {httpPort, peerPort} = started.right;
-	logger.info(`Listens on ${formatHost(settings.right.http.address)}:${httpPort}.`, {
+	logger.info(`Listens on ${formatUrlHost(settings.right.http.address)}:${httpPort}.`, {
 		httpPort, peerPort, roles: settings.right.roles, pid: process.pid, version: VERSION,
 	});
 	let isStopping = false;
--- a/src/daemon/controlhost.ts
+++ b/src/daemon/controlhost.ts
@@ -20,7 +20,7 @@
 	Announcement, Message, Publication, Put, ViewUpdate,
 } from '../generated/types.js';
 import {FeedPublisher, FeedSubscription} from '../membership/feed.js';
-import {DEFAULT_REGISTRY_TIMING, Registry, type Merge} from '../membership/registry.js';
+import {DEFAULT_REGISTRY_TIMING, ServerRegistry, type MergeResult} from '../membership/registry.js';
 import {RuleTable, type Catalogue} from '../routing/catalogue.js';
 import {Placer} from '../routing/placer.js';
 import {RolePlanner} from '../routing/stages.js';
@@ -65,7 +65,7 @@
 
 /** A running control host. Whoever started it stops it. */
 export class ControlHost {
-	readonly registry: Registry;
+	readonly registry: ServerRegistry;
 	readonly #options: ControlHostOptions;
 	readonly #logger: Logger;
 	readonly #service: ControlService;
@@ -80,7 +80,7 @@
 	#table: RuleTable | undefined;
 	#roleChangedMs = Number.NEGATIVE_INFINITY;
 
-	private constructor(options: ControlHostOptions, service: ControlService, registry: Registry, listener: Listener) {
+	private constructor(options: ControlHostOptions, service: ControlService, registry: ServerRegistry, listener: Listener) {
 		this.#options = options;
 		this.#logger = options.loggers('control');
 		this.#service = service;
@@ -108,7 +108,7 @@
 			readVersion: () => Number.MAX_SAFE_INTEGER,
 			onFeed: feed => {
 				for (const sighting of feed.sightings) {
-					this.#noteMerge(this.registry.mergeSighting(sighting, clock.monotonicMs()), sighting.announcement);
+					this.#noteMerge(this.registry.mergeStatus(sighting, clock.monotonicMs()), sighting.announcement);
 				}
 			},
 		});
@@ -120,7 +120,7 @@
 
 	/** Opens the data folder and starts. */
 	static async start(options: ControlHostOptions): Promise<Either.Either<Problem, ControlHost>> {
-		const registry = new Registry({...DEFAULT_REGISTRY_TIMING, silentAfterMs: options.announceMs * SILENT_INTERVALS});
+		const registry = new ServerRegistry({...DEFAULT_REGISTRY_TIMING, silentAfterMs: options.announceMs * SILENT_INTERVALS});
 		const holder: {host?: ControlHost} = {};
 		const listener = new Listener((message, connection) => {
 			holder.host?.receive(message, connection);
@@ -136,7 +136,7 @@
 			clock: options.clock,
 			random: options.random,
 			loggers: options.loggers,
-			orders: options.createOrders(server => registry.lookup(server)?.announcement),
+			orders: options.createOrders(server => registry.findStatus(server)?.announcement),
 			controllerTiming: {...DEFAULT_CONTROLLER_TIMING, successionMs: options.leaseMs + SUCCESSION_MARGIN_MS},
 			// Engines finish what runs before they change their role.
 			orderMechanisms: {...ALL_ORDER_MECHANISMS, awaitViews: false, awaitQuiet: false},
@@ -193,7 +193,7 @@
 			return Either.left(createProblem('noQuorum', undefined, 1));
 		}
 
-		if (this.registry.leave(server)) {
+		if (this.registry.deregister(server)) {
 			this.#logger.info(`Server ${server} leaves.`, {server});
 			this.#publisher.notify();
 			this.#updateEngines();
@@ -251,7 +251,7 @@
 	receive(message: Message, connection: Connection): void {
 		switch (message.type) {
 			case 'watch': {
-				this.#publisher.receive(message, connection);
+				this.#publisher.handleWatch(message, connection);
 				break;
 			}
 
@@ -312,7 +312,7 @@
 		return firstStart && clock.monotonicMs() - this.#startedMs < NEW_MS;
 	}
 
-	#noteMerge(merge: Merge, {server, incarnation, sequence, role, leaving}: Announcement): void {
+	#noteMerge(merge: MergeResult, {server, incarnation, sequence, role, leaving}: Announcement): void {
 		if (merge === 'change') {
 			this.#logger.info(`Server ${server} has news.`, {
 				server, incarnation, sequence, role, leaving,
@@ -367,7 +367,7 @@
 		const {metrics} = this.#options;
 		metrics.placed.set(this.#placer.openCount);
 		metrics.servers.set(this.registry.listUsable().length);
-		metrics.subscribers.set(this.#publisher.entryCount);
+		metrics.subscribers.set(this.#publisher.entryHostCount);
 		metrics.leads.set(this.#service.hasAuthority ? 1 : 0);
 		metrics.majority.set(this.#service.hasQuorum ? 1 : 0);
 		metrics.version.set(this.#table?.catalogue.version ?? 0);
--- a/src/daemon/entryhost.ts
+++ b/src/daemon/entryhost.ts
@@ -10,7 +10,7 @@
 import type {Random} from '../base/random.js';
 import type {Feed} from '../generated/types.js';
 import {FeedSubscription, inflatePublication} from '../membership/feed.js';
-import {Roster} from '../membership/roster.js';
+import {ServerDiscovery} from '../membership/discovery.js';
 import {RepeatBudget, type BudgetLimits} from '../routing/budget.js';
 import {RuleTable} from '../routing/catalogue.js';
 import {HealthTracker} from '../routing/health.js';
@@ -53,7 +53,7 @@
 	readonly #upstream = new Upstream();
 	readonly #local = new Placer();
 	readonly #subscription: FeedSubscription;
-	readonly #roster: Roster;
+	readonly #roster: ServerDiscovery;
 	readonly #budget: RepeatBudget;
 	readonly #gateway: Gateway;
 	readonly #placing: PlacingClient;
@@ -81,7 +81,7 @@
 				this.#placing.receive(message, control);
 			},
 		});
-		this.#roster = new Roster(this.#subscription);
+		this.#roster = new ServerDiscovery(this.#subscription);
 		this.#placing = new PlacingClient(this.#subscription, this.#local, clock);
 		const core: ServingCore = {
 			dataCentre,
@@ -96,7 +96,7 @@
 			budget: this.#budget,
 			placing: this.#placing,
 			listServers: () => this.#roster.listUsable(),
-			findServer: server => this.#roster.lookup(server),
+			findServer: server => this.#roster.findServer(server),
 			countHosts: () => this.#hostCount,
 		};
 		this.#gateway = new Gateway({core, readTable: () => this.#table});
--- a/src/daemon/host.ts
+++ b/src/daemon/host.ts
@@ -15,8 +15,8 @@
 import {ControlClient} from '../control/client.js';
 import {ControlService} from '../control/service.js';
 import {EngineClient} from '../entry/engine.js';
-import {Fleet} from '../entry/fleet.js';
-import {Journal} from '../entry/journal.js';
+import {ServerPool} from '../entry/pool.js';
+import {RequestJournal} from '../entry/journal.js';
 import {createMetrics, type Metrics} from '../entry/metrics.js';
 import {ModelHandler, type FinishedRequest} from '../entry/model.js';
 import {OperatorHandler} from '../entry/operator.js';
@@ -24,7 +24,7 @@
 import {Quarantine} from '../entry/quarantine.js';
 import {EntryServer} from '../entry/server.js';
 import {ServiceHandler} from '../entry/service.js';
-import {View, ViewTask} from '../entry/view.js';
+import {ResourceView, ViewTask} from '../entry/view.js';
 import type {Announcement, Message, Settings} from '../generated/types.js';
 import {Directory} from '../membership/directory.js';
 import {GossipTask} from '../membership/gossip.js';
@@ -174,7 +174,7 @@
 	readonly #models: ModelHandler;
 	readonly #server: EntryServer;
 	readonly #directory: Directory;
-	readonly #fleet: Fleet;
+	readonly #fleet: ServerPool;
 	readonly #capture: WriteStream | undefined;
 	readonly #countedChanges = new Set<string>();
 	#gossip: GossipTask | undefined;
@@ -184,15 +184,15 @@
 		this.#options = options;
 		const {settings, boot, clock, random, metrics, loggers} = options;
 		const {host, dataCentre} = settings;
-		const view = new View();
-		const journal = new Journal();
+		const view = new ResourceView();
+		const journal = new RequestJournal();
 		this.#directory = new Directory(host);
 		this.#client = new ControlClient({
 			seeds: settings.control ?? [], clock, onPushed: message => {
-				this.#viewTask.push(message);
+				this.#viewTask.receivePush(message);
 			},
 		});
-		this.#fleet = new Fleet({directory: this.#directory, view, clock});
+		this.#fleet = new ServerPool({directory: this.#directory, view, clock});
 		this.#capture = settings.captureFile === undefined ? undefined : createWriteStream(settings.captureFile, {flags: 'a'});
 		this.#viewTask = new ViewTask({
 			host,
@@ -213,8 +213,8 @@
 			dataCentre,
 			directory: this.#directory,
 			view,
-			fleet: this.#fleet,
-			engines: this.#engines,
+			pool: this.#fleet,
+			engineClient: this.#engines,
 			quarantine: new Quarantine({
 				client: this.#client, clock, host, boot,
 			}),
@@ -223,7 +223,7 @@
 			clock,
 			random,
 			logger: loggers('routing'),
-			publish: fact => this.#gossip?.publish(fact, true),
+			broadcast: fact => this.#gossip?.publish(fact, true),
 			onFinished: record => {
 				this.#record(record);
 			},
@@ -241,19 +241,19 @@
 			callerKeys: settings.callerKeys,
 			models: this.#models,
 			services: new ServiceHandler({
-				host, boot, view, fleet: this.#fleet, client: this.#client, servers: this.#servers, journal, metrics, clock, random, logger: loggers('routing'),
+				host, boot, view, pool: this.#fleet, client: this.#client, plainClient: this.#servers, journal, metrics, clock, random, logger: loggers('routing'),
 			}),
 			operators: new OperatorHandler({
 				host, client: this.#client, view, viewTask: this.#viewTask, directory: this.#directory, journal, clock,
 			}),
-			fleet: this.#fleet,
+			pool: this.#fleet,
 			metrics,
 			logger: loggers('entry'),
 			isReady: () => this.#viewTask.isReady,
 			onAnnouncement: announcement => {
 				const fact = {type: 'server', announcement} as const;
 				this.#gossip?.publish(fact);
-				this.#fleet.noteFact(fact);
+				this.#fleet.handleFact(fact);
 			},
 		});
 	}
@@ -306,7 +306,7 @@
 			await pause(POLL_MS);
 		}
 
-		await this.#viewTask.leave();
+		await this.#viewTask.releaseLease();
 	}
 
 	async close(): Promise<void> {
@@ -320,7 +320,7 @@
 		await this.#servers.close();
 	}
 
-	#countRoleChanges(view: View): void {
+	#countRoleChanges(view: ResourceView): void {
 		for (const {name, specification, status} of view.list('change')) {
 			const isRoleDone = specification.kind === 'change' && specification.action === 'role' && status?.phase === 'done';
 			if (isRoleDone && !this.#countedChanges.has(name)) {
@@ -343,7 +343,7 @@
 			random,
 			logger: loggers('membership'),
 			onFact: fact => {
-				this.#fleet.noteFact(fact);
+				this.#fleet.handleFact(fact);
 			},
 		});
 	}
--- a/src/entry/completion.ts
+++ b/src/entry/completion.ts
@@ -41,7 +41,7 @@
  * parseCompletion('chat', {model: 'chat-1', messages: [{role: 'user', content: 'Hello'}]});
  * ```
  */
-export function parseCompletion(api: Api, body: Readonly<Record<string, unknown>>): Either.Either<Problem, CompletionRequest> {
+export function parseCompletionRequest(api: Api, body: Readonly<Record<string, unknown>>): Either.Either<Problem, CompletionRequest> {
 	const refuse = (text: string) => Either.left(createProblem('badRequest', text));
 	const {model, stream, n} = body;
 	if (typeof model !== 'string' || model === '') {
@@ -81,9 +81,9 @@
 }
 
 /** Writes an answer to the caller as it comes. */
-export interface AnswerWriter {
+export interface ResponseWriter {
 	/** Takes one token. */
-	token(text: string): void;
+	writeToken(text: string): void;
 	/** Sends what was taken since the last call; false if the caller does not keep up. */
 	flush(): boolean;
 	complete(finishReason: string, usage: Usage): void;
@@ -99,7 +99,7 @@
 const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
 /** Writes an answer as one JSON document. */
-export class WholeWriter implements AnswerWriter {
+export class JsonWriter implements ResponseWriter {
 	readonly #options: WriterOptions;
 	#text = '';
 
@@ -107,7 +107,7 @@
 		this.#options = options;
 	}
 
-	token(text: string): void {
+	writeToken(text: string): void {
 		this.#text += text;
 	}
 
@@ -136,7 +136,7 @@
 }
 
 /** Writes an answer as server-sent events. */
-export class StreamWriter implements AnswerWriter {
+export class EventStreamWriter implements ResponseWriter {
 	readonly #options: WriterOptions;
 	readonly #head: string;
 	#hasStarted = false;
@@ -153,7 +153,7 @@
 		}).slice(0, -1)},"choices":[`;
 	}
 
-	token(text: string): void {
+	writeToken(text: string): void {
 		const {request} = this.#options;
 		const content = JSON.stringify(text);
 		const choice = request.api === APIS.chat
--- a/src/entry/engine.ts
+++ b/src/entry/engine.ts
@@ -11,7 +11,7 @@
 import type {Announcement} from '../generated/types.js';
 
 /** How an attempt ended. */
-export type AttemptEnd
+export type AttemptResult
 	= | {readonly type: 'complete'; readonly finishReason: string; readonly promptTokens: number; readonly cachedTokens: number | undefined; readonly handoff: string | undefined}
 	/** The engine refused before running it. */
 		| {readonly type: 'refused'; readonly status: number; readonly text: string}
@@ -27,7 +27,7 @@
 		| {readonly type: 'mismatch'; readonly text: string}
 		| {readonly type: 'cancelled'};
 
-export type Attempt = {
+export type AttemptOptions = {
 	/** Identity that the engine must echo. */
 	readonly id: string;
 	readonly path: string;
@@ -35,11 +35,11 @@
 	/** Tokens that the caller already has. */
 	readonly offset: number;
 	/** Longest wait for the first event, milliseconds. */
-	readonly firstEventMs: number;
+	readonly firstEventTimeoutMs: number;
 	/** Longest wait between two events, milliseconds. */
-	readonly gapMs: number;
+	readonly eventTimeoutMs: number;
 	/** Whether to open a new connection rather than take a pooled one. */
-	readonly isFresh: boolean;
+	readonly usesNewConnection: boolean;
 	readonly priority: number;
 	readonly onToken: (text: string) => void;
 	/** Called when all events that arrived together were taken. */
@@ -62,7 +62,7 @@
 };
 
 export type RunningAttempt = {
-	readonly end: Promise<AttemptEnd>;
+	readonly result: Promise<AttemptResult>;
 	cancel(): void;
 };
 
@@ -91,9 +91,9 @@
 	 * const end = await attempt.end;
 	 * ```
 	 */
-	start(server: Announcement, attempt: Attempt): RunningAttempt {
-		const origin = `http://${formatHost(server.address)}:${server.port}`;
-		const dispatcher = attempt.isFresh ? createFreshClient(origin) : this.#agent;
+	start(server: Announcement, attempt: AttemptOptions): RunningAttempt {
+		const origin = `http://${formatUrlHost(server.address)}:${server.port}`;
+		const dispatcher = attempt.usesNewConnection ? createFreshClient(origin) : this.#agent;
 		const handler = new AttemptHandler(attempt);
 		const options: Dispatcher.DispatchOptions = {
 			origin,
@@ -105,18 +105,18 @@
 				'x-priority': String(attempt.priority),
 			},
 			body: JSON.stringify(attempt.body),
-			reset: attempt.isFresh,
+			reset: attempt.usesNewConnection,
 		};
 		dispatcher.dispatch(options, handler);
-		const end = handler.end.then(result => {
-			if (attempt.isFresh) {
+		const result = handler.result.then(settled => {
+			if (attempt.usesNewConnection) {
 				void dispatcher.destroy();
 			}
 
-			return result;
+			return settled;
 		});
 		return {
-			end, cancel() {
+			result, cancel() {
 				handler.finish({type: 'cancelled'});
 			},
 		};
@@ -135,7 +135,7 @@
  * formatHost('::1'); // '[::1]'
  * ```
  */
-export function formatHost(address: string): string {
+export function formatUrlHost(address: string): string {
 	return address.includes(':') ? `[${address}]` : address;
 }
 
@@ -145,8 +145,8 @@
 
 /** Takes the events of one exchange as undici delivers them. */
 class AttemptHandler implements Dispatcher.DispatchHandler {
-	readonly end: Promise<AttemptEnd>;
-	readonly #attempt: Attempt;
+	readonly result: Promise<AttemptResult>;
+	readonly #attempt: AttemptOptions;
 	readonly #decoder = new TextDecoder();
 	readonly #parser = createParser({
 		onEvent: event => {
@@ -154,7 +154,7 @@
 		},
 	});
 
-	#resolve: (end: AttemptEnd) => void = () => undefined;
+	#resolve: (result: AttemptResult) => void = () => undefined;
 	#controller: Dispatcher.DispatchController | undefined;
 	#timer: NodeJS.Timeout;
 	#isFinished = false;
@@ -168,15 +168,15 @@
 	#handoff: string | undefined;
 	#isDone = false;
 
-	constructor(attempt: Attempt) {
+	constructor(attempt: AttemptOptions) {
 		this.#attempt = attempt;
 		this.#offset = attempt.offset;
-		this.end = new Promise(resolve => {
+		this.result = new Promise(resolve => {
 			this.#resolve = resolve;
 		});
 		this.#timer = setTimeout(() => {
 			this.finish({type: 'silent'});
-		}, attempt.firstEventMs);
+		}, attempt.firstEventTimeoutMs);
 	}
 
 	onRequestStart(controller: Dispatcher.DispatchController): void {
@@ -231,18 +231,18 @@
 		this.finish({type: isUnreachable ? 'unreachable' : 'broken'});
 	}
 
-	finish(end: AttemptEnd): void {
+	finish(result: AttemptResult): void {
 		if (this.#isFinished) {
 			return;
 		}
 
 		this.#isFinished = true;
 		clearTimeout(this.#timer);
-		if (end.type !== 'complete' && end.type !== 'refused' && end.type !== 'rejected') {
-			this.#controller?.abort(new Error(end.type));
+		if (result.type !== 'complete' && result.type !== 'refused' && result.type !== 'rejected') {
+			this.#controller?.abort(new Error(result.type));
 		}
 
-		this.#resolve(end);
+		this.#resolve(result);
 	}
 
 	#touch(): void {
@@ -255,7 +255,7 @@
 		clearTimeout(this.#timer);
 		this.#timer = setTimeout(() => {
 			this.finish({type: 'silent'});
-		}, this.#attempt.gapMs);
+		}, this.#attempt.eventTimeoutMs);
 	}
 
 	#onEvent(data: string): void {
--- a/src/entry/journal.ts
+++ b/src/entry/journal.ts
@@ -21,7 +21,7 @@
 const MAX_STEPS = 60;
 
 /** The latest requests of one host. */
-export class Journal {
+export class RequestJournal {
 	readonly #entries = new Map<string, JournalEntry>();
 
 	begin(id: string, title: string, at: number): void {
@@ -37,7 +37,7 @@
 		}
 	}
 
-	note(id: string, text: string, at: number): void {
+	addStep(id: string, text: string, at: number): void {
 		const entry = this.#entries.get(id);
 		if (entry && entry.steps.length < MAX_STEPS) {
 			entry.steps.push({at, text});
@@ -52,7 +52,7 @@
 		}
 	}
 
-	entryOf(id: string): JournalEntry | undefined {
+	findEntry(id: string): JournalEntry | undefined {
 		return this.#entries.get(id);
 	}
 }
--- a/src/entry/model.ts
+++ b/src/entry/model.ts
@@ -23,32 +23,32 @@
 import {judgeRequest, VERDICTS, type CrashRecord} from '../routing/poison.js';
 import {hashBlocks} from '../routing/prefix.js';
 import {
-	APIS, parseCompletion, StreamWriter, WholeWriter, type AnswerWriter, type Api, type CompletionRequest,
+	APIS, parseCompletionRequest, EventStreamWriter, JsonWriter, type ResponseWriter, type Api, type CompletionRequest,
 } from './completion.js';
-import type {AttemptEnd, EngineClient} from './engine.js';
+import type {AttemptResult, EngineClient} from './engine.js';
 import {
 	parseJson, readHeader, sendProblem, type Exchange,
 } from './exchange.js';
-import {CHARACTERS_PER_TOKEN, TOKENS_PER_BLOCK, type Fleet} from './fleet.js';
-import type {Journal} from './journal.js';
+import {CHARACTERS_PER_TOKEN, TOKENS_PER_PREFIX_BLOCK, type ServerPool} from './pool.js';
+import type {RequestJournal} from './journal.js';
 import type {Metrics} from './metrics.js';
-import type {Hold, Quarantine} from './quarantine.js';
-import type {View} from './view.js';
+import type {QuarantineLock, Quarantine} from './quarantine.js';
+import type {ResourceView} from './view.js';
 
-export type ModelOptions = {
+export type ModelHandlerOptions = {
 	readonly dataCentre: string;
 	readonly directory: Directory;
-	readonly view: View;
-	readonly fleet: Fleet;
-	readonly engines: EngineClient;
+	readonly view: ResourceView;
+	readonly pool: ServerPool;
+	readonly engineClient: EngineClient;
 	readonly quarantine: Quarantine;
-	readonly journal: Journal;
+	readonly journal: RequestJournal;
 	readonly metrics: Metrics;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
 	/** Tells every entry host at once. */
-	readonly publish: (fact: Fact) => void;
+	readonly broadcast: (fact: Fact) => void;
 	/** Called for each finished request, for the capture of traces. */
 	readonly onFinished?: (record: FinishedRequest) => void;
 };
@@ -86,7 +86,7 @@
 
 /** Serves the requests for models of one entry host. Whoever created it closes it. */
 export class ModelHandler {
-	readonly #options: ModelOptions;
+	readonly #options: ModelHandlerOptions;
 	readonly #budget = new RetryBudget();
 	/** Margins of work that is mostly prompt and of other work. */
 	readonly #margins = {prefill: new PromiseMargin(), decode: new PromiseMargin()};
@@ -94,28 +94,28 @@
 	readonly #waiting = new Map<string, (event: AdmissionEvent) => void>();
 	readonly #timer: NodeJS.Timeout;
 
-	constructor(options: ModelOptions) {
+	constructor(options: ModelHandlerOptions) {
 		this.#options = options;
 		this.#timer = setInterval(() => {
 			this.#pumpAll();
 		}, PUMP_MS);
 	}
 
-	get options(): ModelOptions {
+	get options(): ModelHandlerOptions {
 		return this.#options;
 	}
 
-	marginOf(shape: RequestShape): PromiseMargin {
+	selectMargin(shape: RequestShape): PromiseMargin {
 		return isPrefillWork(shape) ? this.#margins.prefill : this.#margins.decode;
 	}
 
-	get budget(): RetryBudget {
+	get retryBudget(): RetryBudget {
 		return this.#budget;
 	}
 
 	/** Serves one request to its end. */
 	async handle(api: Api, exchange: Exchange, body: Buffer): Promise<void> {
-		const request = Either.flatMap((parsed: Record<string, unknown>) => parseCompletion(api, parsed))(parseJson(body));
+		const request = Either.flatMap((parsed: Record<string, unknown>) => parseCompletionRequest(api, parsed))(parseJson(body));
 		if (Either.isLeft(request)) {
 			sendProblem(exchange, request.left);
 			return;
@@ -127,7 +127,7 @@
 
 	/** Waits for admission; the problem says why it was refused. */
 	async admit(id: string, request: CompletionRequest, shape: RequestShape, limits: {team: string; startByMs: number}): Promise<Problem | undefined> {
-		const {view, fleet, clock} = this.#options;
+		const {view, pool, clock} = this.#options;
 		const team = view.get('team', limits.team)?.specification as Team | undefined;
 		const offer = {
 			id,
@@ -140,7 +140,7 @@
 		const event = await new Promise<AdmissionEvent>(resolve => {
 			this.#waiting.set(id, resolve);
 			const admission = this.#admissionOf(request.model);
-			this.#dispatch(admission.offer(offer, fleet.capacityTokens(request.model), clock.monotonicMs()));
+			this.#dispatch(admission.offer(offer, pool.computeCapacityTokens(request.model), clock.monotonicMs()));
 		});
 		if (event.type === 'start') {
 			return undefined;
@@ -151,11 +151,11 @@
 
 	/** Ends a request's share of the admission. */
 	release(id: string, model: string): void {
-		const {fleet, clock} = this.#options;
+		const {pool, clock} = this.#options;
 		this.#dispatch([{
 			type: 'refuse', id, reason: 'capacity', retryAfterSeconds: 1,
 		}]);
-		this.#dispatch(this.#admissionOf(model).end(id, fleet.capacityTokens(model), clock.monotonicMs()));
+		this.#dispatch(this.#admissionOf(model).end(id, pool.computeCapacityTokens(model), clock.monotonicMs()));
 	}
 
 	close(): void {
@@ -166,7 +166,7 @@
 		let waiting = 0;
 		let running = 0;
 		for (const [model, admission] of this.#admissions) {
-			this.#dispatch(admission.pump(this.#options.fleet.capacityTokens(model), this.#options.clock.monotonicMs()));
+			this.#dispatch(admission.pump(this.#options.pool.computeCapacityTokens(model), this.#options.clock.monotonicMs()));
 			waiting += admission.waitingCount;
 			running += admission.runningCount;
 		}
@@ -205,7 +205,7 @@
 	readonly #handler: ModelHandler;
 	readonly #exchange: Exchange;
 	readonly #request: CompletionRequest;
-	readonly #writer: AnswerWriter;
+	readonly #writer: ResponseWriter;
 	readonly #shape: RequestShape;
 	readonly #startedMs: number;
 	readonly #deadlineMs: number;
@@ -219,7 +219,7 @@
 	#attempts = 0;
 	#isGone = false;
 	#cancel: (() => void) | undefined;
-	#hold: Hold | undefined;
+	#quarantineLock: QuarantineLock | undefined;
 	#crashTokens = 0;
 	#fresh: string | undefined;
 	/** Target to the first token that the caller set, milliseconds. */
@@ -238,7 +238,7 @@
 		const options = {
 			id: exchange.id, request, createdSeconds: Math.floor(clock.wallMs() / 1000), response: exchange.response,
 		};
-		this.#writer = request.isStream ? new StreamWriter(options) : new WholeWriter(options);
+		this.#writer = request.isStream ? new EventStreamWriter(options) : new JsonWriter(options);
 		this.#shape = {
 			promptTokens: Math.ceil(request.prompt.length / CHARACTERS_PER_TOKEN),
 			outputTokens: request.maxTokens === undefined ? DEFAULT_OUTPUT_TOKENS : Math.ceil(request.maxTokens * LIKELY_SHARE_OF_LIMIT),
@@ -263,7 +263,7 @@
 		const startByMs = Math.min(this.#deadlineMs, this.#startedMs + DEFAULT_START_WITHIN_MS);
 		const refusal = this.#judgePoison() ?? this.#judgeModel() ?? await this.#handler.admit(id, this.#request, this.#shape, {team: this.#team, startByMs});
 		const problem = refusal ?? await this.#runAttempts();
-		this.#hold?.release();
+		this.#quarantineLock?.release();
 		this.#handler.release(id, this.#request.model);
 		const outcome = this.#isGone ? 'cancelled' : (problem ? problem.name : 'done');
 		metrics.requests.inc({kind: 'model', outcome});
@@ -291,8 +291,8 @@
 	}
 
 	#judgeModel(): Problem | undefined {
-		const {view, fleet} = this.#handler.options;
-		const isKnown = view.get('model', this.#request.model) !== undefined || fleet.listModels().includes(this.#request.model);
+		const {view, pool} = this.#handler.options;
+		const isKnown = view.get('model', this.#request.model) !== undefined || pool.listModels().includes(this.#request.model);
 		return isKnown ? undefined : createProblem('notFound', `No model ${this.#request.model}.`);
 	}
 
@@ -306,8 +306,8 @@
 
 	async #runAttempts(): Promise<Problem | undefined> {
 		const {clock, metrics} = this.#handler.options;
-		this.#handler.budget.noteRequest();
-		this.#handler.options.fleet.noteDemand(this.#request.model, this.#shape);
+		this.#handler.retryBudget.noteRequest();
+		this.#handler.options.pool.recordDemand(this.#request.model, this.#shape);
 		let last = createProblem('noServer', undefined, 1);
 		while (!this.#isGone && clock.monotonicMs() < this.#deadlineMs) {
 			const step = await this.#runOne();
@@ -337,8 +337,8 @@
 			return {type: 'fail', problem: createProblem('poisoned')};
 		}
 
-		if (verdict === VERDICTS.suspect && !this.#hold) {
-			const isHeld = await this.#takeHold();
+		if (verdict === VERDICTS.suspect && !this.#quarantineLock) {
+			const isHeld = await this.#acquireQuarantineLock();
 			return isHeld
 				? this.#runOne()
 				: {
@@ -347,7 +347,7 @@
 		}
 
 		const decision = this.#choose();
-		const server = decision && this.#handler.options.fleet.findServer(decision.server);
+		const server = decision && this.#handler.options.pool.findServer(decision.server);
 		if (!decision || !server) {
 			return this.#onNoServer();
 		}
@@ -359,17 +359,17 @@
 
 		this.#attempts++;
 		this.#logDecision(decision);
-		const end = await this.#attempt(server, decision);
-		return this.#judgeEnd(end, server);
+		const result = await this.#attempt(server, decision);
+		return this.#judgeEnd(result, server);
 	}
 
 	#choose(): Decision | undefined {
-		const {fleet, random} = this.#handler.options;
+		const {pool, random} = this.#handler.options;
 		const {model, prompt} = this.#request;
 		const fresh = this.#fresh;
-		const candidates = fleet.listEngines(model, prompt, this.#excluded);
-		const held = this.#hold;
-		const wanted = held ? candidates.filter(candidate => candidate.server === held.server) : candidates;
+		const candidates = pool.listEngines(model, prompt, this.#excluded);
+		const lock = this.#quarantineLock;
+		const wanted = lock ? candidates.filter(candidate => candidate.server === lock.server) : candidates;
 		const repeated = fresh === undefined ? undefined : wanted.find(candidate => candidate.server === fresh);
 		if (repeated) {
 			return chooseEngine(this.#shape, [repeated], random);
@@ -391,14 +391,14 @@
 		}
 
 		const targets = {...DEFAULT_TARGETS, firstTokenMs: this.#firstTokenMs - (this.#now() - this.#startedMs)};
-		const isPromised = meetsTargets(decision.cost, targets, this.#handler.marginOf(this.#shape).share);
+		const isPromised = meetsTargets(decision.cost, targets, this.#handler.selectMargin(this.#shape).share);
 		return isPromised ? undefined : createProblem('noCapacity', 'The first token would come too late.', 1);
 	}
 
 	#onNoServer(): NextStep {
-		if (this.#hold) {
-			this.#hold.release();
-			this.#hold = undefined;
+		if (this.#quarantineLock) {
+			this.#quarantineLock.release();
+			this.#quarantineLock = undefined;
 		}
 
 		if (this.#excluded.size > 0) {
@@ -411,13 +411,13 @@
 		return {type: 'fail', problem: createProblem('noServer', undefined, 1)};
 	}
 
-	async #takeHold(): Promise<boolean> {
-		const {fleet, quarantine, random} = this.#handler.options;
-		const servers = fleet.listEngines(this.#request.model, this.#request.prompt, this.#excluded).map(({server}) => server);
+	async #acquireQuarantineLock(): Promise<boolean> {
+		const {pool, quarantine, random} = this.#handler.options;
+		const servers = pool.listEngines(this.#request.model, this.#request.prompt, this.#excluded).map(({server}) => server);
 		this.#note('An engine crashed while it ran this request; it waits to be tried alone.');
-		this.#hold = await quarantine.tryHold(shuffle(servers, random));
+		this.#quarantineLock = await quarantine.tryLock(shuffle(servers, random));
 		this.#crashTokens = this.#tokens;
-		return this.#hold !== undefined;
+		return this.#quarantineLock !== undefined;
 	}
 
 	#logDecision(decision: Decision): void {
@@ -429,29 +429,29 @@
 		this.#note(`Attempt ${this.#attempts} goes to engine ${decision.server} (${decision.reason}; ${considered.length} engines compared, expected first token in ${Math.round(decision.cost.firstTokenMs)} ms).`);
 	}
 
-	async #attempt(server: Announcement, decision: Decision): Promise<AttemptEnd> {
-		const {engines, fleet, clock} = this.#handler.options;
+	async #attempt(server: Announcement, decision: Decision): Promise<AttemptResult> {
+		const {engineClient, pool, clock} = this.#handler.options;
 		const id = `${this.#exchange.id}.${this.#attempts}`;
 		this.#isFirstOfAttempt = true;
 		const resume = this.#tokens > 0 ? {resume: {offset: this.#tokens, text: this.#delivered}} : {};
 		const handoff = this.#handsOff ? {handoff: true} : {};
 		const imported = this.#import ? {kv: this.#import} : {};
-		const cachedTokens = fleet.prefixes.countCached(server.server, hashBlocks(this.#request.prompt)) * TOKENS_PER_BLOCK;
-		fleet.loads.begin(server.server, id, {
+		const cachedTokens = pool.prefixes.countCached(server.server, hashBlocks(this.#request.prompt)) * TOKENS_PER_PREFIX_BLOCK;
+		pool.loads.begin(server.server, id, {
 			prefillTokens: Math.max(0, this.#shape.promptTokens - (this.#import ? this.#shape.promptTokens : cachedTokens)),
 			outputTokens: this.#shape.outputTokens,
 			promptTokens: this.#shape.promptTokens,
 		}, clock.monotonicMs());
-		const attempt = engines.start(server, {
+		const attempt = engineClient.start(server, {
 			id,
 			path: ENGINE_PATHS[this.#request.api],
 			body: {
 				...this.#request.body, ...resume, ...handoff, ...imported,
 			},
 			offset: this.#tokens,
-			firstEventMs: this.#firstEventLimit(decision),
-			gapMs: fleet.progress.gapLimitMs(server.server),
-			isFresh: this.#fresh === server.server,
+			firstEventTimeoutMs: this.#firstEventLimit(decision),
+			eventTimeoutMs: pool.progress.gapLimitMs(server.server),
+			usesNewConnection: this.#fresh === server.server,
 			priority: readHeader(this.#exchange.request, 'carawayhoist-priority') === 'background' ? PRIORITY.background : PRIORITY.interactive,
 			onToken: text => {
 				this.#onToken(text, server.server, id);
@@ -474,11 +474,11 @@
 		const deadline = setTimeout(() => {
 			attempt.cancel();
 		}, Math.max(0, this.#deadlineMs - clock.monotonicMs()));
-		const end = await attempt.end;
+		const result = await attempt.result;
 		clearTimeout(deadline);
 		this.#cancel = undefined;
-		fleet.loads.end(server.server, id);
-		return end;
+		pool.loads.end(server.server, id);
+		return result;
 	}
 
 	#firstEventLimit(decision: Decision): number {
@@ -487,30 +487,30 @@
 	}
 
 	#onToken(text: string, server: string, attempt: string): void {
-		const {fleet, clock, metrics} = this.#handler.options;
+		const {pool, clock, metrics} = this.#handler.options;
 		const nowMs = clock.monotonicMs();
 		if (this.#isFirstOfAttempt) {
 			this.#isFirstOfAttempt = false;
-			fleet.loads.noteFirstToken(server, attempt);
+			pool.loads.noteFirstToken(server, attempt);
 		}
 
 		if (this.#tokens === 0) {
 			const firstMs = nowMs - this.#startedMs;
 			metrics.firstToken.observe(firstMs / 1000);
-			this.#handler.marginOf(this.#shape).note(firstMs <= this.#targetMs);
+			this.#handler.selectMargin(this.#shape).note(firstMs <= this.#targetMs);
 		} else {
 			metrics.betweenTokens.observe((nowMs - this.#lastTokenMs) / 1000);
-			fleet.progress.noteGap(server, nowMs - this.#lastTokenMs);
+			pool.progress.noteGap(server, nowMs - this.#lastTokenMs);
 		}
 
 		this.#lastTokenMs = nowMs;
 		this.#tokens++;
 		this.#delivered += text;
-		if (this.#hold && this.#tokens >= this.#crashTokens + CLEARING_TOKENS) {
+		if (this.#quarantineLock && this.#tokens >= this.#crashTokens + CLEARING_TOKENS) {
 			this.#clearSuspicion();
 		}
 
-		this.#writer.token(text);
+		this.#writer.writeToken(text);
 	}
 
 	#flush(): void {
@@ -523,22 +523,22 @@
 	#clearSuspicion(): void {
 		const {servers} = this.#listCrashes();
 		this.#publishPoison({servers, acquitted: servers});
-		this.#hold?.release();
-		this.#hold = undefined;
+		this.#quarantineLock?.release();
+		this.#quarantineLock = undefined;
 	}
 
-	async #judgeEnd(end: AttemptEnd, server: Announcement): Promise<NextStep> {
-		const {fleet} = this.#handler.options;
+	async #judgeEnd(result: AttemptResult, server: Announcement): Promise<NextStep> {
+		const {pool} = this.#handler.options;
 		const wasFresh = this.#fresh === server.server;
 		this.#fresh = undefined;
 		this.#import = undefined;
-		switch (end.type) {
+		switch (result.type) {
 			case 'complete': {
-				if (end.handoff !== undefined) {
-					return this.#onHandoff(end.handoff, server);
+				if (result.handoff !== undefined) {
+					return this.#onHandoff(result.handoff, server);
 				}
 
-				this.#onComplete(end, server);
+				this.#onComplete(result, server);
 				return {type: 'done'};
 			}
 
@@ -547,13 +547,13 @@
 			}
 
 			case 'rejected': {
-				return {type: 'fail', problem: createProblem('badRequest', `The engine says: ${end.text}`)};
+				return {type: 'fail', problem: createProblem('badRequest', `The engine says: ${result.text}`)};
 			}
 
 			case 'refused': {
-				this.#note(`Engine ${server.server} refused it (${end.status}).`);
+				this.#note(`Engine ${server.server} refused it (${result.status}).`);
 				this.#excluded.add(server.server);
-				if (end.status === 429 && !this.#handler.budget.take()) {
+				if (result.status === 429 && !this.#handler.retryBudget.take()) {
 					return {type: 'fail', problem: createProblem('noCapacity', undefined, 1)};
 				}
 
@@ -564,11 +564,11 @@
 
 			case 'silent':
 			case 'mismatch': {
-				return this.#onSilent(server, wasFresh, end.type);
+				return this.#onSilent(server, wasFresh, result.type);
 			}
 
 			case 'unreachable': {
-				fleet.health.noteFailure(server.server, this.#now());
+				pool.health.noteFailure(server.server, this.#now());
 				this.#excluded.add(server.server);
 				this.#note(`Engine ${server.server} could not be reached.`);
 				return {
@@ -586,7 +586,7 @@
 	#onHandoff(handle: string, server: Announcement): NextStep {
 		this.#handsOff = false;
 		this.#import = {address: server.address, port: server.port, handle};
-		this.#handler.options.fleet.prefixes.note(server.server, hashBlocks(this.#request.prompt));
+		this.#handler.options.pool.prefixes.note(server.server, hashBlocks(this.#request.prompt));
 		this.#note(`Engine ${server.server} has computed the prompt; its KV cache is handed over.`);
 		return {
 			type: 'again', sameServer: false, reason: 'handoff', pauseMs: 0,
@@ -596,7 +596,7 @@
 	#noteLoad(server: string, header: string): void {
 		const load = parseLoad(header);
 		if (load) {
-			this.#handler.options.fleet.loads.report(server, load, this.#now());
+			this.#handler.options.pool.loads.report(server, load, this.#now());
 		}
 	}
 
@@ -604,7 +604,7 @@
 	#onSilent(server: Announcement, wasFresh: boolean, reason: string): NextStep {
 		this.#note(`Nothing usable came from engine ${server.server} on ${wasFresh ? 'a new' : 'an open'} connection (${reason}).`);
 		if (wasFresh) {
-			this.#handler.options.fleet.health.noteFailure(server.server, this.#now());
+			this.#handler.options.pool.health.noteFailure(server.server, this.#now());
 			this.#excluded.add(server.server);
 		} else {
 			this.#fresh = server.server;
@@ -616,7 +616,7 @@
 	}
 
 	async #onBroken(server: Announcement): Promise<NextStep> {
-		const {fleet} = this.#handler.options;
+		const {pool} = this.#handler.options;
 		const isAlive = await probe(server);
 		if (isAlive) {
 			this.#note(`The connection to engine ${server.server} broke; the engine is alive.`);
@@ -628,10 +628,10 @@
 		}
 
 		this.#note(`Engine ${server.server} died while it ran this request.`);
-		fleet.health.noteFailure(server.server, this.#now());
+		pool.health.noteFailure(server.server, this.#now());
 		this.#excluded.add(server.server);
-		this.#hold?.release();
-		this.#hold = undefined;
+		this.#quarantineLock?.release();
+		this.#quarantineLock = undefined;
 		this.#publishCrash(server);
 		return {
 			type: 'again', sameServer: false, reason: 'died', pauseMs: 0,
@@ -641,7 +641,7 @@
 	/** A second look at an engine that seemed to be alive after its connection broke. */
 	async #lookAgain(server: Announcement): Promise<void> {
 		await pause(SECOND_LOOK_MS);
-		const current = this.#handler.options.fleet.findServer(server.server) ?? server;
+		const current = this.#handler.options.pool.findServer(server.server) ?? server;
 		if (current.incarnation !== server.incarnation || !(await probe(server))) {
 			this.#note(`Engine ${server.server} has died since its connection broke.`);
 			this.#publishCrash(server);
@@ -654,8 +654,8 @@
 
 	/** Tells every entry host what is known of the servers that died while they ran this request. */
 	#publishPoison({servers, acquitted = []}: CrashRecord): void {
-		const {publish, clock} = this.#handler.options;
-		publish({
+		const {broadcast, clock} = this.#handler.options;
+		broadcast({
 			type: 'poison', fingerprint: this.#request.fingerprint, servers: [...servers], acquitted: [...acquitted], at: clock.wallMs(),
 		});
 	}
@@ -664,28 +664,28 @@
 	#blameRepeatedBreaks(server: Announcement): void {
 		if (this.#brokenAt.has(server.server)) {
 			this.#excluded.add(server.server);
-			this.#handler.options.fleet.health.noteFailure(server.server, this.#now());
+			this.#handler.options.pool.health.noteFailure(server.server, this.#now());
 		}
 
 		this.#brokenAt.add(server.server);
 	}
 
-	#onComplete(end: Extract<AttemptEnd, {type: 'complete'}>, server: Announcement): void {
-		const {fleet} = this.#handler.options;
+	#onComplete(result: Extract<AttemptResult, {type: 'complete'}>, server: Announcement): void {
+		const {pool} = this.#handler.options;
 		const hashes = hashBlocks(this.#request.prompt);
-		fleet.health.noteSuccess(server.server);
-		if (end.cachedTokens !== undefined) {
-			fleet.prefixes.confirm(server.server, fleet.prefixes.countSeen(hashes), end.cachedTokens / TOKENS_PER_BLOCK);
+		pool.health.noteSuccess(server.server);
+		if (result.cachedTokens !== undefined) {
+			pool.prefixes.confirm(server.server, pool.prefixes.countSeen(hashes), result.cachedTokens / TOKENS_PER_PREFIX_BLOCK);
 		}
 
-		fleet.prefixes.note(server.server, hashes);
+		pool.prefixes.note(server.server, hashes);
 
-		if (this.#hold) {
+		if (this.#quarantineLock) {
 			this.#clearSuspicion();
 		}
 
-		const promptTokens = end.promptTokens || this.#shape.promptTokens;
-		this.#writer.complete(end.finishReason, {
+		const promptTokens = result.promptTokens || this.#shape.promptTokens;
+		this.#writer.complete(result.finishReason, {
 			prompt_tokens: promptTokens, completion_tokens: this.#tokens, total_tokens: promptTokens + this.#tokens,
 		});
 	}
@@ -722,7 +722,7 @@
 	}
 
 	#note(text: string): void {
-		this.#handler.options.journal.note(this.#exchange.id, text, this.#handler.options.clock.wallMs());
+		this.#handler.options.journal.addStep(this.#exchange.id, text, this.#handler.options.clock.wallMs());
 	}
 
 	#now(): number {
--- a/src/entry/operator.ts
+++ b/src/entry/operator.ts
@@ -19,37 +19,37 @@
 import {
 	parseJson, readHeader, sendJson, sendProblem, type Exchange,
 } from './exchange.js';
-import {formatHost} from './engine.js';
-import type {Journal} from './journal.js';
-import type {View, ViewTask} from './view.js';
+import {formatUrlHost} from './engine.js';
+import type {RequestJournal} from './journal.js';
+import type {ResourceView, ViewTask} from './view.js';
 
-export type OperatorOptions = {
+export type OperatorHandlerOptions = {
 	readonly host: string;
 	readonly client: ControlClient;
-	readonly view: View;
+	readonly view: ResourceView;
 	readonly viewTask: ViewTask;
 	readonly directory: Directory;
-	readonly journal: Journal;
+	readonly journal: RequestJournal;
 	readonly clock: Clock;
 };
 
 /** Path under which the API stands. */
-export const OPERATOR_PREFIX = '/api/v1/';
+export const OPERATOR_PATH_PREFIX = '/api/v1/';
 const KINDS = new Set(['service', 'model', 'engine', 'team', 'policy', 'change']);
 const WATCH_HEARTBEAT_MS = 5000;
 const FORWARD_TIMEOUT_MS = 2000;
 
 /** Serves operators. */
 export class OperatorHandler {
-	readonly #options: OperatorOptions;
+	readonly #options: OperatorHandlerOptions;
 
-	constructor(options: OperatorOptions) {
+	constructor(options: OperatorHandlerOptions) {
 		this.#options = options;
 	}
 
 	/** Serves one call to its end. */
 	async handle(exchange: Exchange, body: Buffer): Promise<void> {
-		const [collection, kind, name] = exchange.path.slice(OPERATOR_PREFIX.length).split('/').map(part => decodeURIComponent(part));
+		const [collection, kind, name] = exchange.path.slice(OPERATOR_PATH_PREFIX.length).split('/').map(part => decodeURIComponent(part));
 		switch (collection) {
 			case 'resources': {
 				await this.#handleResources(exchange, body, {kind, name});
@@ -261,7 +261,7 @@
 	/** Tells the story of a request or a planned change. */
 	async #explain(exchange: Exchange, subject: string): Promise<void> {
 		const {journal} = this.#options;
-		const entry = journal.entryOf(subject);
+		const entry = journal.findEntry(subject);
 		if (entry) {
 			sendJson(exchange, 200, {
 				subject, title: entry.title, outcome: entry.outcome, startedAt: entry.startedAt, steps: entry.steps,
@@ -291,7 +291,7 @@
 			return undefined;
 		}
 
-		const url = `http://${formatHost(fact.http.address)}:${fact.http.port}${OPERATOR_PREFIX}explain/${encodeURIComponent(subject)}?forwarded=1`;
+		const url = `http://${formatUrlHost(fact.http.address)}:${fact.http.port}${OPERATOR_PATH_PREFIX}explain/${encodeURIComponent(subject)}?forwarded=1`;
 		const authorization = readHeader(exchange.request, 'authorization');
 		try {
 			const {statusCode, body} = await httpRequest(url, {
--- a/src/entry/plain.ts
+++ b/src/entry/plain.ts
@@ -6,7 +6,7 @@
 import {Buffer} from 'node:buffer';
 import {Agent, Client, type Dispatcher} from 'undici';
 import type {Announcement} from '../generated/types.js';
-import {formatHost} from './engine.js';
+import {formatUrlHost} from './engine.js';
 
 export type PlainRequest = {
 	readonly id: string;
@@ -16,17 +16,17 @@
 	readonly body: Buffer;
 	readonly timeoutMs: number;
 	/** Whether it must go out on a connection opened for it. */
-	readonly isFresh: boolean;
+	readonly usesNewConnection: boolean;
 };
 
-export type PlainAnswer = {
+export type PlainResponse = {
 	readonly status: number;
 	readonly contentType: string;
 	readonly body: Buffer;
 };
 
-export type PlainEnd
-	= | {readonly type: 'answer'; readonly answer: PlainAnswer}
+export type PlainResult
+	= | {readonly type: 'answer'; readonly answer: PlainResponse}
 	/** No byte left, or the server says that it did not run it. */
 		| {readonly type: 'not-run'; readonly text: string}
 	/** It may have run. */
@@ -57,9 +57,9 @@
 	 * end.type; // 'answer', 'not-run' or 'unknown'
 	 * ```
 	 */
-	async exchange(server: Announcement, request: PlainRequest): Promise<PlainEnd> {
-		const origin = `http://${formatHost(server.address)}:${server.port}`;
-		const dispatcher = request.isFresh ? new Client(origin, {connect: {timeout: CONNECT_TIMEOUT_MS}, headersTimeout: 0, bodyTimeout: 0}) : this.#agent;
+	async send(server: Announcement, request: PlainRequest): Promise<PlainResult> {
+		const origin = `http://${formatUrlHost(server.address)}:${server.port}`;
+		const dispatcher = request.usesNewConnection ? new Client(origin, {connect: {timeout: CONNECT_TIMEOUT_MS}, headersTimeout: 0, bodyTimeout: 0}) : this.#agent;
 		const handler = new PlainHandler(request);
 		dispatcher.dispatch({
 			origin,
@@ -67,14 +67,14 @@
 			method: request.method,
 			headers: {...request.headers, 'x-request-id': request.id},
 			body: request.body.length > 0 ? request.body : null,
-			reset: request.isFresh,
+			reset: request.usesNewConnection,
 		}, handler);
-		const end = await handler.end;
-		if (request.isFresh) {
+		const result = await handler.result;
+		if (request.usesNewConnection) {
 			await dispatcher.destroy();
 		}
 
-		return end;
+		return result;
 	}
 
 	async close(): Promise<void> {
@@ -83,11 +83,11 @@
 }
 
 class PlainHandler implements Dispatcher.DispatchHandler {
-	readonly end: Promise<PlainEnd>;
+	readonly result: Promise<PlainResult>;
 	readonly #request: PlainRequest;
 	readonly #chunks: Buffer[] = [];
 	readonly #timer: NodeJS.Timeout;
-	#resolve: (end: PlainEnd) => void = () => undefined;
+	#resolve: (result: PlainResult) => void = () => undefined;
 	#controller: Dispatcher.DispatchController | undefined;
 	#isFinished = false;
 	#hasStarted = false;
@@ -98,7 +98,7 @@
 
 	constructor(request: PlainRequest) {
 		this.#request = request;
-		this.end = new Promise(resolve => {
+		this.result = new Promise(resolve => {
 			this.#resolve = resolve;
 		});
 		this.#timer = setTimeout(() => {
@@ -163,11 +163,11 @@
 		this.#controller?.abort(new Error(text));
 	}
 
-	#finish(end: PlainEnd): void {
+	#finish(result: PlainResult): void {
 		if (!this.#isFinished) {
 			this.#isFinished = true;
 			clearTimeout(this.#timer);
-			this.#resolve(end);
+			this.#resolve(result);
 		}
 	}
 }
--- a/src/entry/fleet.ts
+++ b/src/entry/pool.ts
@@ -15,39 +15,39 @@
 import {DemandMeter, estimateWork} from '../routing/roles.js';
 import type {Announcement, Fact, ModelDemand} from '../generated/types.js';
 import type {Directory} from '../membership/directory.js';
-import type {View} from './view.js';
+import type {ResourceView} from './view.js';
 
 /** Characters of a prompt for each token, as an estimate. */
 export const CHARACTERS_PER_TOKEN = 4;
 /** KV tokens that one piece of an engine's capacity holds. */
-export const TOKENS_PER_PIECE = 64;
+export const TOKENS_PER_KV_BLOCK = 64;
 const DEFAULT_MAX_RUNNING = 64;
 const DEFAULT_PIECES = 1000;
 const DEMAND_WINDOW_MS = 8000;
-export const TOKENS_PER_BLOCK = BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
+export const TOKENS_PER_PREFIX_BLOCK = BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
 
-export type FleetOptions = {
+export type ServerPoolOptions = {
 	readonly directory: Directory;
-	readonly view: View;
+	readonly view: ResourceView;
 	readonly clock: Clock;
 };
 
 /** Joins what is known of the servers into candidates for the choice. */
-export class Fleet {
+export class ServerPool {
 	readonly loads = new LoadTracker();
 	readonly prefixes = new PrefixIndex();
 	readonly health = new HealthTracker();
 	readonly progress = new ProgressHistory();
 	readonly #meters = new Map<string, DemandMeter>();
-	readonly #options: FleetOptions;
+	readonly #options: ServerPoolOptions;
 	readonly #incarnations = new Map<string, number>();
 
-	constructor(options: FleetOptions) {
+	constructor(options: ServerPoolOptions) {
 		this.#options = options;
 	}
 
 	/** Takes news of a server in. */
-	noteFact(fact: Fact): void {
+	handleFact(fact: Fact): void {
 		if (fact.type !== 'server') {
 			return;
 		}
@@ -65,7 +65,7 @@
 	}
 
 	/** Notes a request's work for the leader's choice of roles. */
-	noteDemand(model: string, shape: {readonly promptTokens: number; readonly outputTokens: number}): void {
+	recordDemand(model: string, shape: {readonly promptTokens: number; readonly outputTokens: number}): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		let meter = this.#meters.get(model);
 		if (!meter) {
@@ -96,7 +96,7 @@
 	}
 
 	/** Plain servers that may take a call to a service. */
-	listPlain(service: string, excluded: ReadonlySet<string>): Announcement[] {
+	listPlainServers(service: string, excluded: ReadonlySet<string>): Announcement[] {
 		return this.#listUsable(excluded, announcement => announcement.kind === 'plain' && (announcement.services ?? []).includes(service));
 	}
 
@@ -107,9 +107,9 @@
 	}
 
 	/** Tokens that all engines of a model hold. */
-	capacityTokens(model: string): number {
+	computeCapacityTokens(model: string): number {
 		const servers = this.#listUsable(new Set(), announcement => servesModel(announcement, model));
-		return servers.reduce((sum, announcement) => sum + ((announcement.capacity ?? DEFAULT_PIECES) * TOKENS_PER_PIECE), 0);
+		return servers.reduce((sum, announcement) => sum + ((announcement.capacity ?? DEFAULT_PIECES) * TOKENS_PER_KV_BLOCK), 0);
 	}
 
 	/** Suspected servers come back into the choice when nothing else is left. */
@@ -144,10 +144,10 @@
 			dataCentre: announcement.dataCentre ?? '',
 			load: this.loads.estimate(server),
 			speed: DEFAULT_SPEED,
-			cachedTokens: this.prefixes.expectCached(server, hashes, isHome) * TOKENS_PER_BLOCK,
+			cachedTokens: this.prefixes.expectCached(server, hashes, isHome) * TOKENS_PER_PREFIX_BLOCK,
 			isHome,
 			maxRunning: DEFAULT_MAX_RUNNING,
-			kvTokens: pieces * TOKENS_PER_PIECE,
+			kvTokens: pieces * TOKENS_PER_KV_BLOCK,
 		};
 	}
 
--- a/src/entry/quarantine.ts
+++ b/src/entry/quarantine.ts
@@ -18,7 +18,7 @@
 };
 
 /** A server that is held for one suspect. */
-export type Hold = {
+export type QuarantineLock = {
 	readonly server: string;
 	/** Lets the server go; calling it again does nothing. */
 	release(): void;
@@ -45,18 +45,18 @@
 	 * hold?.release();
 	 * ```
 	 */
-	async tryHold(servers: readonly string[]): Promise<Hold | undefined> {
+	async tryLock(servers: readonly string[]): Promise<QuarantineLock | undefined> {
 		for (const server of servers) {
-			const hold = await this.#tryServer(server);
-			if (hold) {
-				return hold;
+			const lock = await this.#tryServer(server);
+			if (lock) {
+				return lock;
 			}
 		}
 
 		return undefined;
 	}
 
-	async #tryServer(server: string): Promise<Hold | undefined> {
+	async #tryServer(server: string): Promise<QuarantineLock | undefined> {
 		const {client, clock, host, boot} = this.#options;
 		const key = QUARANTINE_PREFIX + server;
 		const attempt = `${boot}/q${this.#next++}`;
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -15,13 +15,13 @@
 import {
 	createErrorBody, parseJson, readBody, readHeader, sendJson, sendProblem, type BodyLimits, type Exchange,
 } from './exchange.js';
-import type {Fleet} from './fleet.js';
+import type {ServerPool} from './pool.js';
 import type {Metrics} from './metrics.js';
 import type {ModelHandler} from './model.js';
-import {OPERATOR_PREFIX, type OperatorHandler} from './operator.js';
+import {OPERATOR_PATH_PREFIX, type OperatorHandler} from './operator.js';
 import type {ServiceHandler} from './service.js';
 
-export type ServerOptions = {
+export type EntryServerOptions = {
 	readonly host: string;
 	readonly boot: string;
 	readonly limits: BodyLimits & {readonly headerBytes: number};
@@ -31,7 +31,7 @@
 	readonly models: ModelHandler;
 	readonly services: ServiceHandler;
 	readonly operators: OperatorHandler;
-	readonly fleet: Fleet;
+	readonly pool: ServerPool;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
 	readonly isReady: () => boolean;
@@ -43,13 +43,13 @@
 
 /** The listening HTTP server. Whoever started it closes it. */
 export class EntryServer {
-	readonly #options: ServerOptions;
+	readonly #options: EntryServerOptions;
 	readonly #server: http.Server;
 	#next = 1;
 	#active = 0;
 	#isStopping = false;
 
-	constructor(options: ServerOptions) {
+	constructor(options: EntryServerOptions) {
 		this.#options = options;
 		const listener: http.RequestListener = (request, response) => {
 			void this.#serve(request, response);
@@ -129,7 +129,7 @@
 			return;
 		}
 
-		const isOperator = exchange.path.startsWith(OPERATOR_PREFIX);
+		const isOperator = exchange.path.startsWith(OPERATOR_PATH_PREFIX);
 		const problem = this.#checkKey(exchange, isOperator);
 		if (problem) {
 			sendProblem(exchange, problem);
@@ -207,9 +207,9 @@
 			return;
 		}
 
-		const found = services.findRoute(method, path);
-		if (found) {
-			await services.handle(exchange, body, found);
+		const match = services.matchRoute(method, path);
+		if (match) {
+			await services.handle(exchange, body, match);
 			return;
 		}
 
@@ -234,7 +234,7 @@
 	}
 
 	#listModels(exchange: Exchange): void {
-		const data = this.#options.fleet.listModels().map(id => ({
+		const data = this.#options.pool.listModels().map(id => ({
 			id, object: 'model', created: 0, owned_by: 'carawayhoist',
 		}));
 		sendJson(exchange, 200, {object: 'list', data});
--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -16,27 +16,27 @@
 	Announcement, LedgerAnswer, Route, Service, Settle,
 } from '../generated/types.js';
 import {readHeader, sendProblem, type Exchange} from './exchange.js';
-import type {Fleet} from './fleet.js';
-import type {Journal} from './journal.js';
+import type {ServerPool} from './pool.js';
+import type {RequestJournal} from './journal.js';
 import type {Metrics} from './metrics.js';
-import type {PlainAnswer, PlainClient, PlainEnd} from './plain.js';
-import type {View} from './view.js';
+import type {PlainResponse, PlainClient, PlainResult} from './plain.js';
+import type {ResourceView} from './view.js';
 
 export type ServiceHandlerOptions = {
 	readonly host: string;
 	readonly boot: string;
-	readonly view: View;
-	readonly fleet: Fleet;
+	readonly view: ResourceView;
+	readonly pool: ServerPool;
 	readonly client: ControlClient;
-	readonly servers: PlainClient;
-	readonly journal: Journal;
+	readonly plainClient: PlainClient;
+	readonly journal: RequestJournal;
 	readonly metrics: Metrics;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
 };
 
-export type FoundRoute = {
+export type RouteMatch = {
 	readonly service: string;
 	readonly route: Route;
 };
@@ -44,7 +44,7 @@
 type Call = {
 	readonly exchange: Exchange;
 	readonly body: Buffer;
-	readonly found: FoundRoute;
+	readonly match: RouteMatch;
 	readonly deadlineMs: number;
 };
 
@@ -76,7 +76,7 @@
 	}
 
 	/** Finds the declared route of a call. */
-	findRoute(method: string, path: string): FoundRoute | undefined {
+	matchRoute(method: string, path: string): RouteMatch | undefined {
 		for (const resource of this.#options.view.list('service')) {
 			const {routes} = resource.specification as Service;
 			const route = routes.find(candidate => candidate.method === method && matchesPath(candidate.path, path));
@@ -89,14 +89,14 @@
 	}
 
 	/** Serves one call to its end. */
-	async handle(exchange: Exchange, body: Buffer, found: FoundRoute): Promise<void> {
+	async handle(exchange: Exchange, body: Buffer, match: RouteMatch): Promise<void> {
 		const {clock, journal, metrics} = this.#options;
-		const kind = found.route.repeatable ? 'repeatable' : 'non-repeatable';
-		journal.begin(exchange.id, `A ${kind} call ${exchange.method} ${exchange.path} to service ${found.service}`, clock.wallMs());
+		const kind = match.route.repeatable ? 'repeatable' : 'non-repeatable';
+		journal.begin(exchange.id, `A ${kind} call ${exchange.method} ${exchange.path} to service ${match.service}`, clock.wallMs());
 		const call: Call = {
-			exchange, body, found, deadlineMs: clock.monotonicMs() + (found.route.deadlineMs ?? DEFAULT_DEADLINE_MS),
+			exchange, body, match, deadlineMs: clock.monotonicMs() + (match.route.deadlineMs ?? DEFAULT_DEADLINE_MS),
 		};
-		const result = found.route.repeatable ? await this.#runRepeatable(call) : await this.#runOnce(call);
+		const result = match.route.repeatable ? await this.#runRepeatable(call) : await this.#runOnce(call);
 		const outcome = Either.isRight(result) ? 'done' : result.left.name;
 		metrics.requests.inc({kind, outcome});
 		if (Either.isLeft(result)) {
@@ -109,8 +109,8 @@
 		sendAnswer(exchange, result.right);
 	}
 
-	async #runRepeatable(call: Call): Promise<Either.Either<Problem, PlainAnswer>> {
-		const {clock, fleet, metrics} = this.#options;
+	async #runRepeatable(call: Call): Promise<Either.Either<Problem, PlainResponse>> {
+		const {clock, pool, metrics} = this.#options;
 		const tried = new Set<string>();
 		for (let attempt = 1; attempt <= MAX_ATTEMPTS && clock.monotonicMs() < call.deadlineMs; attempt++) {
 			const server = this.#choose(call, tried);
@@ -121,16 +121,16 @@
 			// A second try opens a new connection: the pooled one may have gone silent.
 			const leftMs = call.deadlineMs - clock.monotonicMs();
 			const timeoutMs = attempt === 1 ? Math.min(leftMs, Math.max(500, leftMs / 3)) : leftMs;
-			const end = await this.#send(call, server, {attempt, timeoutMs, isFresh: attempt > 1});
-			if (end.type === 'answer') {
-				fleet.health.noteSuccess(server.server);
-				return Either.right(end.answer);
+			const result = await this.#send(call, server, {attempt, timeoutMs, isFresh: attempt > 1});
+			if (result.type === 'answer') {
+				pool.health.noteSuccess(server.server);
+				return Either.right(result.answer);
 			}
 
-			metrics.retries.inc({reason: end.type});
-			if (end.type === 'not-run' || attempt > 1) {
+			metrics.retries.inc({reason: result.type});
+			if (result.type === 'not-run' || attempt > 1) {
 				tried.add(server.server);
-				fleet.health.noteFailure(server.server, clock.monotonicMs());
+				pool.health.noteFailure(server.server, clock.monotonicMs());
 			}
 		}
 
@@ -138,8 +138,8 @@
 		return Either.left(isLate ? createProblem('deadlineExceeded', undefined, 1) : createProblem(tried.size > 0 ? 'serverFailed' : 'noServer', undefined, 1));
 	}
 
-	async #runOnce(call: Call): Promise<Either.Either<Problem, PlainAnswer>> {
-		const key = readHeader(call.exchange.request, call.found.route.keyHeader ?? DEFAULT_KEY_HEADER);
+	async #runOnce(call: Call): Promise<Either.Either<Problem, PlainResponse>> {
+		const key = readHeader(call.exchange.request, call.match.route.keyHeader ?? DEFAULT_KEY_HEADER);
 		if (key === undefined || key === '') {
 			return describeOnce(await this.#sendOnce(call));
 		}
@@ -151,10 +151,10 @@
 		return this.#runClaimed(call, key);
 	}
 
-	async #runClaimed(call: Call, callerKey: string): Promise<Either.Either<Problem, PlainAnswer>> {
+	async #runClaimed(call: Call, callerKey: string): Promise<Either.Either<Problem, PlainResponse>> {
 		const {clock} = this.#options;
 		const team = readHeader(call.exchange.request, 'carawayhoist-team') ?? 'default';
-		const key = `${call.found.service}/${team}/${callerKey}`;
+		const key = `${call.match.service}/${team}/${callerKey}`;
 		const fingerprint = fingerprintCall(call);
 		// Every poll is the same attempt: whichever copy of its claim is granted, this call learns of it.
 		const claimed: Claimed = {key, attempt: `${this.#options.boot}/${this.#nextAttempt++}`};
@@ -200,10 +200,10 @@
 		return outcome.type === 'ledger' ? Either.right(outcome) : Either.left(createProblem('notStarted', undefined, 1));
 	}
 
-	async #runGranted(call: Call, claimed: Claimed): Promise<Either.Either<Problem, PlainAnswer>> {
+	async #runGranted(call: Call, claimed: Claimed): Promise<Either.Either<Problem, PlainResponse>> {
 		this.#note(call, 'The ledger has granted this key: it has not run before.');
-		const end = await this.#sendOnce(call);
-		const settlement = createSettlement(end);
+		const result = await this.#sendOnce(call);
+		const settlement = createSettlement(result);
 		const {client, clock} = this.#options;
 		const settled = await client.propose({
 			type: 'settle', at: clock.wallMs(), key: claimed.key, attempt: claimed.attempt, ...settlement,
@@ -213,7 +213,7 @@
 			this.#settleInBackground(claimed, settlement);
 		}
 
-		return describeOnce(end);
+		return describeOnce(result);
 	}
 
 	/** A copy of the claim may still be committed: it must not be granted to a call that has ended. */
@@ -229,10 +229,10 @@
 	}
 
 	/** Sends the work to at most one server that takes it; a server that surely did not run it is passed over. */
-	async #sendOnce(call: Call): Promise<PlainEnd> {
-		const {clock, fleet} = this.#options;
+	async #sendOnce(call: Call): Promise<PlainResult> {
+		const {clock, pool} = this.#options;
 		const tried = new Set<string>();
-		let last: PlainEnd = {type: 'not-run', text: 'No server is in use.'};
+		let last: PlainResult = {type: 'not-run', text: 'No server is in use.'};
 		for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
 			const server = this.#choose(call, tried);
 			const timeoutMs = call.deadlineMs - clock.monotonicMs();
@@ -246,18 +246,18 @@
 			}
 
 			tried.add(server.server);
-			fleet.health.noteFailure(server.server, clock.monotonicMs());
+			pool.health.noteFailure(server.server, clock.monotonicMs());
 		}
 
 		return last;
 	}
 
 	#choose(call: Call, tried: ReadonlySet<string>): Announcement | undefined {
-		const {fleet, random, logger} = this.#options;
-		const servers = fleet.listPlain(call.found.service, tried);
+		const {pool, random, logger} = this.#options;
+		const servers = pool.listPlainServers(call.match.service, tried);
 		const first = pick(servers, random);
 		const second = pick(servers, random);
-		const isFirst = !second || (first && fleet.loads.estimate(first.server).requests <= fleet.loads.estimate(second.server).requests);
+		const isFirst = !second || (first && pool.loads.estimate(first.server).requests <= pool.loads.estimate(second.server).requests);
 		const chosen = isFirst ? first : second;
 		if (chosen) {
 			logger.info(`Sends call to ${chosen.server}.`, {
@@ -268,30 +268,30 @@
 		return chosen;
 	}
 
-	async #send(call: Call, server: Announcement, options: {attempt: number; timeoutMs: number; isFresh: boolean}): Promise<PlainEnd> {
-		const {servers, fleet, clock} = this.#options;
+	async #send(call: Call, server: Announcement, options: {attempt: number; timeoutMs: number; isFresh: boolean}): Promise<PlainResult> {
+		const {plainClient, pool, clock} = this.#options;
 		const id = `${call.exchange.id}.${options.attempt}`;
 		this.#note(call, `It goes to server ${server.server}.`);
-		fleet.loads.begin(server.server, id, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
-		const end = await servers.exchange(server, {
+		pool.loads.begin(server.server, id, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
+		const result = await plainClient.send(server, {
 			id,
 			method: call.exchange.method,
 			path: call.exchange.request.url ?? call.exchange.path,
 			headers: passHeaders(call),
 			body: call.body,
 			timeoutMs: options.timeoutMs,
-			isFresh: options.isFresh,
+			usesNewConnection: options.isFresh,
 		});
-		fleet.loads.end(server.server, id);
-		if (end.type !== 'answer') {
-			this.#note(call, `Server ${server.server}: ${end.text} (${end.type}).`);
+		pool.loads.end(server.server, id);
+		if (result.type !== 'answer') {
+			this.#note(call, `Server ${server.server}: ${result.text} (${result.type}).`);
 		}
 
-		return end;
+		return result;
 	}
 
 	#note(call: Call, text: string): void {
-		this.#options.journal.note(call.exchange.id, text, this.#options.clock.wallMs());
+		this.#options.journal.addStep(call.exchange.id, text, this.#options.clock.wallMs());
 	}
 }
 
@@ -307,34 +307,34 @@
 	return declared.endsWith('/*') ? path.startsWith(declared.slice(0, -1)) : declared === path;
 }
 
-function createSettlement(end: PlainEnd): Pick<Settle, 'outcome' | 'answer'> {
-	if (end.type !== 'answer') {
-		return {outcome: end.type};
+function createSettlement(result: PlainResult): Pick<Settle, 'outcome' | 'answer'> {
+	if (result.type !== 'answer') {
+		return {outcome: result.type};
 	}
 
-	const {status, contentType, body} = end.answer;
+	const {status, contentType, body} = result.answer;
 	return body.length > MAX_KEPT_ANSWER_BYTES
 		? {outcome: 'done'}
 		: {outcome: 'done', answer: {status, contentType, body: new Uint8Array(body)}};
 }
 
-function describeOnce(end: PlainEnd): Either.Either<Problem, PlainAnswer> {
-	switch (end.type) {
+function describeOnce(result: PlainResult): Either.Either<Problem, PlainResponse> {
+	switch (result.type) {
 		case 'answer': {
-			return Either.right(end.answer);
+			return Either.right(result.answer);
 		}
 
 		case 'not-run': {
-			return Either.left(createProblem('notStarted', end.text, 1));
+			return Either.left(createProblem('notStarted', result.text, 1));
 		}
 
 		case 'unknown': {
-			return Either.left(createProblem('outcomeUnknown', end.text));
+			return Either.left(createProblem('outcomeUnknown', result.text));
 		}
 	}
 }
 
-function describeLedger(known: LedgerAnswer): Either.Either<Problem, PlainAnswer> {
+function describeLedger(known: LedgerAnswer): Either.Either<Problem, PlainResponse> {
 	switch (known.state) {
 		case 'done': {
 			return known.answer
@@ -379,7 +379,7 @@
 }
 
 function passHeaders(call: Call): Record<string, string> {
-	const names = [...PASSED_HEADERS, call.found.route.keyHeader ?? DEFAULT_KEY_HEADER];
+	const names = [...PASSED_HEADERS, call.match.route.keyHeader ?? DEFAULT_KEY_HEADER];
 	const headers: Record<string, string> = {};
 	for (const name of names) {
 		const value = readHeader(call.exchange.request, name);
@@ -391,7 +391,7 @@
 	return headers;
 }
 
-function sendAnswer(exchange: Exchange, answer: PlainAnswer): void {
+function sendAnswer(exchange: Exchange, answer: PlainResponse): void {
 	if (exchange.response.destroyed || exchange.response.headersSent) {
 		return;
 	}
--- a/src/entry/view.ts
+++ b/src/entry/view.ts
@@ -19,7 +19,7 @@
 const NO_VERSION = -1;
 
 /** The resources in force. A step machine: updates in, accessors out. */
-export class View {
+export class ResourceView {
 	readonly #resources = new Map<string, Resource>();
 	#version = NO_VERSION;
 
@@ -66,7 +66,7 @@
 	}
 
 	/** Servers that an unfinished change or an order concerns. */
-	listChanging(): string[] {
+	listChangingServers(): string[] {
 		const servers = this.list('change').filter(resource => isOpenChange(resource)).flatMap(resource => {
 			const {server, replacement} = resource.specification as Change;
 			return replacement === undefined ? [server] : [server, replacement];
@@ -79,7 +79,7 @@
 	readonly host: string;
 	/** Identity of this start of the process. */
 	readonly boot: string;
-	readonly view: View;
+	readonly view: ResourceView;
 	readonly client: ControlClient;
 	readonly clock: Clock;
 	readonly logger: Logger;
@@ -132,7 +132,7 @@
 	}
 
 	/** Takes a view that the leader sent on its own. */
-	push(message: Renewed): void {
+	receivePush(message: Renewed): void {
 		if (this.#hasRead) {
 			this.#apply(message);
 			this.#schedule(0);
@@ -140,7 +140,7 @@
 	}
 
 	/** Gives the lease back, so that no change waits for this host any more. */
-	async leave(): Promise<void> {
+	async releaseLease(): Promise<void> {
 		this.#isLeaving = true;
 		await this.#options.client.renew(this.#createRenewal())();
 	}
@@ -174,7 +174,7 @@
 		}
 
 		this.#isRenewing = false;
-		const isBusy = this.#options.view.listChanging().length > 0;
+		const isBusy = this.#options.view.listChangingServers().length > 0;
 		this.#schedule(isBusy ? BUSY_RENEW_EVERY_MS : RENEW_EVERY_MS);
 	}
 
@@ -205,7 +205,7 @@
 
 	#createRenewal(): Parameters<ControlClient['renew']>[0] {
 		const {view, host, boot} = this.#options;
-		const servers = view.listChanging();
+		const servers = view.listChangingServers();
 		const running: Running[] = servers.map(server => ({server, count: this.#options.countRunning(server)}));
 		const announcements = servers.map(server => this.#options.findAnnouncement(server)).filter(found => found !== undefined);
 		return {
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -12,13 +12,13 @@
 } from '../generated/types.js';
 
 /** How a merge changed what is known. */
-export const NOVELTIES = {none: 'none', refresh: 'refresh', urgent: 'urgent'} as const;
-export type Novelty = keyof typeof NOVELTIES;
+export const FACT_MERGE_RESULTS = {none: 'none', refresh: 'refresh', urgent: 'urgent'} as const;
+export type FactMergeResult = keyof typeof FACT_MERGE_RESULTS;
 
 export type ServerRecord = {
 	readonly announcement: Announcement;
 	/** Monotonic time of the last newer announcement, milliseconds. */
-	readonly heardMs: number;
+	readonly receivedMs: number;
 };
 
 type Rumor = {
@@ -27,7 +27,7 @@
 	remaining: number;
 };
 
-export const SERVER_SILENCE_MS = 180_000;
+export const SERVER_TIMEOUT_MS = 180_000;
 const POISON_RETENTION_MS = 3_600_000;
 const MAX_POISON_FACTS = 2000;
 const REPEATS_PER_DOUBLING = 2;
@@ -49,8 +49,8 @@
 	/** Backend servers that are not silent for long; leaving ones are listed too. */
 	listServers(nowMs: number): Announcement[] {
 		const result: Announcement[] = [];
-		for (const {announcement, heardMs} of this.#servers.values()) {
-			if (nowMs - heardMs < SERVER_SILENCE_MS) {
+		for (const {announcement, receivedMs} of this.#servers.values()) {
+			if (nowMs - receivedMs < SERVER_TIMEOUT_MS) {
 				result.push(announcement);
 			}
 		}
@@ -83,13 +83,13 @@
 	}
 
 	/** Takes a fact in; what is news is spread further. */
-	merge(fact: Fact, nowMs: number): Novelty {
-		const novelty = this.#mergeByType(fact, nowMs);
-		if (novelty !== NOVELTIES.none) {
-			this.#spread(fact, novelty);
+	merge(fact: Fact, nowMs: number): FactMergeResult {
+		const result = this.#mergeByType(fact, nowMs);
+		if (result !== FACT_MERGE_RESULTS.none) {
+			this.#spread(fact, result);
 		}
 
-		return novelty;
+		return result;
 	}
 
 	/** Takes the rumors for one message, urgent ones first, up to a number of bytes. */
@@ -130,14 +130,14 @@
 
 	/** Forgets servers that have been silent for long. */
 	expire(nowMs: number): void {
-		for (const [server, {heardMs}] of this.#servers) {
-			if (nowMs - heardMs > SERVER_SILENCE_MS * 2) {
+		for (const [server, {receivedMs}] of this.#servers) {
+			if (nowMs - receivedMs > SERVER_TIMEOUT_MS * 2) {
 				this.#servers.delete(server);
 			}
 		}
 	}
 
-	#mergeByType(fact: Fact, nowMs: number): Novelty {
+	#mergeByType(fact: Fact, nowMs: number): FactMergeResult {
 		switch (fact.type) {
 			case 'server': {
 				return this.#mergeServer(fact.announcement, nowMs);
@@ -153,33 +153,33 @@
 		}
 	}
 
-	#mergeServer(announcement: Announcement, nowMs: number): Novelty {
+	#mergeServer(announcement: Announcement, nowMs: number): FactMergeResult {
 		const known = this.#servers.get(announcement.server)?.announcement;
 		if (known && !isLater(announcement, known)) {
-			return NOVELTIES.none;
+			return FACT_MERGE_RESULTS.none;
 		}
 
-		this.#servers.set(announcement.server, {announcement, heardMs: nowMs});
+		this.#servers.set(announcement.server, {announcement, receivedMs: nowMs});
 		const isSame = known && describeServer(known) === describeServer(announcement);
-		return isSame ? NOVELTIES.refresh : NOVELTIES.urgent;
+		return isSame ? FACT_MERGE_RESULTS.refresh : FACT_MERGE_RESULTS.urgent;
 	}
 
-	#mergeHost(fact: HostFact): Novelty {
+	#mergeHost(fact: HostFact): FactMergeResult {
 		const known = this.#hosts.get(fact.peer.host);
 		if (known && !isLater(fact, known)) {
-			return NOVELTIES.none;
+			return FACT_MERGE_RESULTS.none;
 		}
 
 		this.#hosts.set(fact.peer.host, fact);
-		return known && describeHost(known) === describeHost(fact) ? NOVELTIES.refresh : NOVELTIES.urgent;
+		return known && describeHost(known) === describeHost(fact) ? FACT_MERGE_RESULTS.refresh : FACT_MERGE_RESULTS.urgent;
 	}
 
-	#mergePoison(fact: PoisonFact): Novelty {
+	#mergePoison(fact: PoisonFact): FactMergeResult {
 		const known = this.#poison.get(fact.fingerprint);
 		const servers = unite(known?.servers, fact.servers);
 		const acquitted = unite(known?.acquitted, fact.acquitted);
 		if (known?.servers.length === servers.length && (known.acquitted ?? []).length === acquitted.length) {
-			return NOVELTIES.none;
+			return FACT_MERGE_RESULTS.none;
 		}
 
 		this.#poison.set(fact.fingerprint, {
@@ -191,13 +191,13 @@
 			}
 		}
 
-		return NOVELTIES.urgent;
+		return FACT_MERGE_RESULTS.urgent;
 	}
 
-	#spread(fact: Fact, novelty: Novelty): void {
+	#spread(fact: Fact, result: FactMergeResult): void {
 		const key = factKey(fact);
 		const pending = this.#rumors.get(key);
-		const urgent = novelty === NOVELTIES.urgent || (pending?.urgent ?? false);
+		const urgent = result === FACT_MERGE_RESULTS.urgent || (pending?.urgent ?? false);
 		const doublings = Math.ceil(Math.log2(this.#hosts.size + 2));
 		const stored = fact.type === 'poison' ? this.#poison.get(fact.fingerprint)! : fact;
 		this.#rumors.set(key, {fact: stored, urgent, remaining: urgent ? doublings * REPEATS_PER_DOUBLING : doublings});
--- a/src/membership/roster.ts
+++ b/src/membership/discovery.ts
@@ -4,25 +4,25 @@
  * @module
  */
 import type {Announcement, Feed} from '../generated/types.js';
-import {Registry} from './registry.js';
+import {ServerRegistry} from './registry.js';
 
 /** An entry host hears changes only, so silence towards itself means nothing. */
 const TIMING = {silentAfterMs: Number.POSITIVE_INFINITY, forgetAfterMs: Number.POSITIVE_INFINITY};
 
 /** Which control hosts may be asked about silent servers now. */
-export type LiveSources = {
+export type ControlHostStatus = {
 	listLive(): string[];
 	isWarm(control: string): boolean;
 };
 
 /** The merged view of all feeds. */
-export class Roster {
-	readonly #registry = new Registry(TIMING);
+export class ServerDiscovery {
+	readonly #registry = new ServerRegistry(TIMING);
 	/** For each control host, the servers it lists, and whether it hears them. */
 	readonly #claims = new Map<string, Map<string, boolean>>();
-	readonly #live: LiveSources;
+	readonly #live: ControlHostStatus;
 
-	constructor(live: LiveSources) {
+	constructor(live: ControlHostStatus) {
 		this.#live = live;
 	}
 
@@ -36,7 +36,7 @@
 
 		for (const sighting of feed.sightings) {
 			claims.set(sighting.announcement.server, !sighting.silent && !sighting.gone);
-			this.#registry.mergeSighting(sighting, nowMs);
+			this.#registry.mergeStatus(sighting, nowMs);
 		}
 
 		return feed.whole || feed.sightings.length > 0;
@@ -53,7 +53,7 @@
 		return claims.length === 0 ? usable : usable.filter(({server}) => claims.some(claim => claim.get(server) === true));
 	}
 
-	lookup(server: string): Announcement | undefined {
-		return this.#registry.lookup(server)?.announcement;
+	findServer(server: string): Announcement | undefined {
+		return this.#registry.findStatus(server)?.announcement;
 	}
 }
--- a/src/membership/feed.ts
+++ b/src/membership/feed.ts
@@ -16,7 +16,7 @@
 	Feed, Member, Message, Watch,
 } from '../generated/types.js';
 import {connect, type Address, type Connection} from '../wire/connection.js';
-import type {Registry} from './registry.js';
+import type {ServerRegistry} from './registry.js';
 
 /** Sign of life; a subscriber gives a connection up after four missed ones. */
 export const FEED_INTERVAL_MS = 300;
@@ -31,9 +31,9 @@
 	readonly body: string;
 };
 
-export type PublisherOptions = {
+export type FeedPublisherOptions = {
 	readonly host: string;
-	readonly registry: Registry;
+	readonly registry: ServerRegistry;
 	readonly clock: Clock;
 	readonly readPublication: () => PublicationText | undefined;
 	readonly listMembers: () => Member[];
@@ -52,13 +52,13 @@
 
 /** The publishing side, on a control host. Whoever created it closes it. */
 export class FeedPublisher {
-	readonly #options: PublisherOptions;
+	readonly #options: FeedPublisherOptions;
 	readonly #subscribers = new Map<Connection, Subscriber>();
 	readonly #timer: NodeJS.Timeout;
 	#pending: NodeJS.Timeout | undefined;
 	#deflated: {readonly version: number; readonly bytes: Uint8Array} | undefined;
 
-	constructor(options: PublisherOptions) {
+	constructor(options: FeedPublisherOptions) {
 		this.#options = options;
 		this.#timer = setInterval(() => {
 			this.#publish(true);
@@ -66,7 +66,7 @@
 	}
 
 	/** Entry hosts that are subscribed. */
-	get entryCount(): number {
+	get entryHostCount(): number {
 		const hosts = new Set<string>();
 		for (const {host, role} of this.#subscribers.values()) {
 			if (role === 'entry') {
@@ -77,7 +77,7 @@
 		return hosts.size;
 	}
 
-	receive(message: Watch, connection: Connection): void {
+	handleWatch(message: Watch, connection: Connection): void {
 		const known = this.#subscribers.get(connection);
 		if (known) {
 			known.version = Math.max(known.version, message.version);
@@ -132,9 +132,9 @@
 			hasQuorum: hasQuorum(),
 			isWarm: isWarm(),
 			version: publication?.version ?? 0,
-			sightings: registry.listSince(subscriber.revision, subscriber.role === 'control'),
+			sightings: registry.listChangedSince(subscriber.revision, subscriber.role === 'control'),
 			members: listMembers(),
-			entries: this.entryCount,
+			entries: this.entryHostCount,
 		};
 		subscriber.revision = registry.revision;
 		subscriber.isNew = false;
@@ -167,7 +167,7 @@
 	return Either.tryCatch(() => Buffer.from(inflateRawSync(bytes)).toString('utf8'), error => createProblem('badRequest', String(error)));
 }
 
-export type SubscriptionOptions = {
+export type FeedSubscriptionOptions = {
 	readonly host: string;
 	readonly dataCentre: string;
 	readonly role: Watch['role'];
@@ -180,7 +180,7 @@
 	readonly onFeed: (feed: Feed, control: string) => void;
 	/** Called with any other message that a control host sends. */
 	readonly onMessage?: (message: Message, control: string) => void;
-	readonly onLost?: (control: string) => void;
+	readonly onDisconnect?: (control: string) => void;
 };
 
 type Source = {
@@ -199,13 +199,13 @@
 
 /** The subscribing side: one connection to every control host heard of. Whoever created it closes it. */
 export class FeedSubscription {
-	readonly #options: SubscriptionOptions;
+	readonly #options: FeedSubscriptionOptions;
 	readonly #sources = new Map<string, Source>();
 	readonly #told = new Set<string>();
 	readonly #timer: NodeJS.Timeout;
 	#isClosed = false;
 
-	constructor(options: SubscriptionOptions) {
+	constructor(options: FeedSubscriptionOptions) {
 		this.#options = options;
 		this.addSeeds(options.seeds);
 		this.#timer = setInterval(() => {
@@ -297,7 +297,7 @@
 				}
 
 				source.hasQuorum = false;
-				this.#options.onLost?.(key);
+				this.#options.onDisconnect?.(key);
 			}
 		});
 		connection.send(this.#createWatch());
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -10,7 +10,7 @@
 	Endpoint, Fact, Gossip, HostFact, Peer,
 } from '../generated/types.js';
 import {ConnectionPool} from '../wire/connection.js';
-import {NOVELTIES, type Directory} from './directory.js';
+import {FACT_MERGE_RESULTS, type Directory} from './directory.js';
 
 export type GossipOptions = {
 	readonly directory: Directory;
@@ -28,7 +28,7 @@
 	readonly onFact?: (fact: Fact) => void;
 };
 
-export const ROUND_MS = 200;
+export const ROUND_INTERVAL_MS = 200;
 export const FANOUT = 2;
 /** Most bytes of rumors in one message: 5 rounds a second to 2 hosts stay below 5 KB/s. */
 export const MAX_RUMOR_BYTES = 480;
@@ -53,14 +53,14 @@
 		this.#announceSelf(false);
 		this.#timer = setInterval(() => {
 			this.#tick();
-		}, ROUND_MS);
+		}, ROUND_INTERVAL_MS);
 		this.#compare(this.#choosePeers(FANOUT));
 	}
 
 	/** Spreads a fact that was learned here; an urgent one goes to every host at once. */
 	publish(fact: Fact, toAll = false): void {
-		const novelty = this.#options.directory.merge(fact, this.#options.clock.monotonicMs());
-		if (toAll && novelty === NOVELTIES.urgent) {
+		const result = this.#options.directory.merge(fact, this.#options.clock.monotonicMs());
+		if (toAll && result === FACT_MERGE_RESULTS.urgent) {
 			this.#send(this.#allPeers(), {facts: [fact]});
 		}
 	}
@@ -69,7 +69,7 @@
 		const {directory, clock} = this.#options;
 		const nowMs = clock.monotonicMs();
 		for (const fact of message.facts) {
-			if (directory.merge(fact, nowMs) !== NOVELTIES.none) {
+			if (directory.merge(fact, nowMs) !== FACT_MERGE_RESULTS.none) {
 				this.#options.onFact?.(fact);
 			}
 		}
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -9,8 +9,8 @@
  */
 import type {Announcement, Sighting} from '../generated/types.js';
 
-export const MERGES = {none: 'none', refresh: 'refresh', change: 'change'} as const;
-export type Merge = keyof typeof MERGES;
+export const MERGE_RESULTS = {none: 'none', refresh: 'refresh', change: 'change'} as const;
+export type MergeResult = keyof typeof MERGE_RESULTS;
 
 export type RegistryTiming = {
 	/** Silence after which a server counts as silent, milliseconds. */
@@ -34,7 +34,7 @@
 };
 
 /** What one host knows of the backend servers. */
-export class Registry {
+export class ServerRegistry {
 	readonly #rows = new Map<string, Row>();
 	readonly #timing: RegistryTiming;
 	#revision = 0;
@@ -48,12 +48,12 @@
 		return this.#revision;
 	}
 
-	lookup(server: string): Sighting | undefined {
+	findStatus(server: string): Sighting | undefined {
 		const row = this.#rows.get(server);
 		return row && toSighting(row);
 	}
 
-	list(): Sighting[] {
+	listStatuses(): Sighting[] {
 		return [...this.#rows.values()].map(row => toSighting(row));
 	}
 
@@ -70,7 +70,7 @@
 	}
 
 	/** What changed after a revision; with `refreshes`, also servers that only announced themselves again. */
-	listSince(revision: number, refreshes: boolean): Sighting[] {
+	listChangedSince(revision: number, refreshes: boolean): Sighting[] {
 		const result: Sighting[] = [];
 		for (const row of this.#rows.values()) {
 			if ((refreshes ? Math.max(row.changed, row.refreshed) : row.changed) > revision) {
@@ -82,18 +82,18 @@
 	}
 
 	/** Takes an announcement, from the server itself or from another host. */
-	merge(announcement: Announcement, nowMs: number): Merge {
+	merge(announcement: Announcement, nowMs: number): MergeResult {
 		const known = this.#rows.get(announcement.server);
 		if (known && !isNewer(announcement, known.announcement)) {
-			return MERGES.none;
+			return MERGE_RESULTS.none;
 		}
 
 		if (known?.gone && known.announcement.incarnation === announcement.incarnation) {
-			return MERGES.none;
+			return MERGE_RESULTS.none;
 		}
 
 		if (!this.#claimAddress(announcement)) {
-			return MERGES.none;
+			return MERGE_RESULTS.none;
 		}
 
 		this.#revision++;
@@ -109,22 +109,22 @@
 			changed: isChange ? this.#revision : known.changed,
 			refreshed: this.#revision,
 		});
-		return isChange ? MERGES.change : MERGES.refresh;
+		return isChange ? MERGE_RESULTS.change : MERGE_RESULTS.refresh;
 	}
 
 	/** Takes what another host knows; its silence counts for nothing here, its goodbye does. */
-	mergeSighting({announcement, gone, silent}: Sighting, nowMs: number): Merge {
-		const merge = silent ? MERGES.none : this.merge(announcement, nowMs);
+	mergeStatus({announcement, gone, silent}: Sighting, nowMs: number): MergeResult {
+		const merge = silent ? MERGE_RESULTS.none : this.merge(announcement, nowMs);
 		const known = this.#rows.get(announcement.server);
-		if (gone && known?.announcement.incarnation === announcement.incarnation && this.leave(announcement.server)) {
-			return MERGES.change;
+		if (gone && known?.announcement.incarnation === announcement.incarnation && this.deregister(announcement.server)) {
+			return MERGE_RESULTS.change;
 		}
 
 		return merge;
 	}
 
 	/** Notes that a server takes its leave; true if it was known and had not. */
-	leave(server: string): boolean {
+	deregister(server: string): boolean {
 		const known = this.#rows.get(server);
 		if (!known || known.gone) {
 			return false;
@@ -164,7 +164,7 @@
 				return false;
 			}
 
-			this.leave(other.server);
+			this.deregister(other.server);
 		}
 
 		return true;
--- a/test/directory.test.ts
+++ b/test/directory.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {Announcement, Fact} from '../src/generated/types.js';
-import {Directory, SERVER_SILENCE_MS} from '../src/membership/directory.js';
+import {Directory, SERVER_TIMEOUT_MS} from '../src/membership/directory.js';
 
 test('an old announcement never revives a leaving server', () => {
 	const directory = new Directory('h1');
@@ -59,8 +59,8 @@
 test('a server that is silent for long is not used', () => {
 	const directory = new Directory('h1');
 	directory.merge(server(1, 1), 0);
-	assert.equal(directory.listServers(SERVER_SILENCE_MS - 1).length, 1);
-	assert.equal(directory.listServers(SERVER_SILENCE_MS + 1).length, 0);
+	assert.equal(directory.listServers(SERVER_TIMEOUT_MS - 1).length, 1);
+	assert.equal(directory.listServers(SERVER_TIMEOUT_MS + 1).length, 0);
 });
 
 function server(incarnation: number, sequence: number, leaving = false, name = 's'): Fact {
--- a/test/layers.test.ts
+++ b/test/layers.test.ts
@@ -33,7 +33,7 @@
 	'routing/catalogue',
 	'control/repairs',
 	'membership/registry',
-	'membership/roster',
+	'membership/discovery',
 	'serving/events',
 ];
 const ALLOWED_IN_CORES = new Set(['node:zlib', 'node:buffer']);
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {ControlState, resourceKey} from '../src/control/state.js';
-import {View} from '../src/entry/view.js';
+import {ResourceView} from '../src/entry/view.js';
 import type {Command, Put} from '../src/generated/types.js';
 import {decodeValue, encodeValue} from '../src/wire/frame.js';
 import {assertSnapshot} from './snapshot.js';
@@ -26,7 +26,7 @@
 
 test('a watch resumed from any version ends in the same configuration', () => {
 	const state = new ControlState();
-	const views = Array.from({length: 40}, () => new View());
+	const views = Array.from({length: 40}, () => new ResourceView());
 	for (let index = 1; index <= 40; index++) {
 		const command: Command = index % 5 === 0
 			? {
@@ -48,10 +48,10 @@
 	state.apply(put('p1', 0), 1);
 	const old = state.updateSince(-1);
 	state.apply(put('p2', 1), 2);
-	const view = new View();
+	const view = new ResourceView();
 	assert.ok(view.apply(state.updateSince(-1)));
 	assert.ok(!view.apply(old));
-	assert.ok(!new View().apply(state.updateSince(1)));
+	assert.ok(!new ResourceView().apply(state.updateSince(1)));
 	assert.equal(view.version, 2);
 });
 
@@ -112,6 +112,6 @@
 	};
 }
 
-function names(view: View): string[] {
+function names(view: ResourceView): string[] {
 	return view.list().map(({name, version, specification}) => `${resourceKey(specification.kind, name)}@${version}`).toSorted();
 }
