--- a/bench/commits.ts
+++ b/bench/commits.ts
@@ -21,7 +21,7 @@
 import {ControlState, type StateImage} from '../src/control/state.js';
 import type {Command, Configuration, Member} from '../src/generated/types.js';
 import {Listener} from '../src/wire/connection.js';
-import {decodeValue, encodeValue} from '../src/wire/frame.js';
+import {decodeCbor, encodeCbor} from '../src/wire/frame.js';
 import {findPort, ProcessFleet, waitUntil} from '../dev/fleet.js';
 import {book, findLeader} from '../dev/calls.js';
 import {describeTimes, type Times} from './statistics.js';
@@ -54,7 +54,7 @@
 	await Promise.all(Array.from({length: plan.inFlight}, async (_, lane) => {
 		for (let index = 0; performance.now() < untilMs; index++) {
 			const beganMs = performance.now();
-			const result = await leader.propose(encodeValue(createClaim(`${lane}/${index}`)));
+			const result = await leader.propose(encodeCbor(createClaim(`${lane}/${index}`)));
 			if (Either.isRight(result)) {
 				times.push(performance.now() - beganMs);
 			}
@@ -150,13 +150,13 @@
 function createMachine(): Machine {
 	let state = new ControlState();
 	return {
-		apply: entry => state.apply(decodeValue(entry.data) as Command, entry.index),
+		apply: entry => state.apply(decodeCbor(entry.data) as Command, entry.index),
 		skip(index) {
 			state.skip(index);
 		},
-		save: () => encodeValue(state.save()),
+		save: () => encodeCbor(state.save()),
 		restore(data) {
-			state = new ControlState(decodeValue(data) as StateImage);
+			state = new ControlState(decodeCbor(data) as StateImage);
 		},
 	};
 }
@@ -201,7 +201,7 @@
 	const leader = await group.waitForLeader();
 	const batch = 64;
 	for (let done = 0; done < changes; done += batch) {
-		await Promise.all(Array.from({length: Math.min(batch, changes - done)}, async (_, index) => leader.propose(encodeValue(createPut(done + index)))));
+		await Promise.all(Array.from({length: Math.min(batch, changes - done)}, async (_, index) => leader.propose(encodeCbor(createPut(done + index)))));
 	}
 
 	const folder = group.folderOf('r0');
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -25,7 +25,7 @@
 import {Admission} from '../src/routing/limit.js';
 import {LoadTracker} from '../src/routing/load.js';
 import {PrefixIndex} from '../src/routing/prefix.js';
-import {decodeValue, encodeFrame, encodeValue} from '../src/wire/frame.js';
+import {decodeCbor, encodeFrame, encodeCbor} from '../src/wire/frame.js';
 import {fitLine, round} from './statistics.js';
 
 const {values} = parseArgs({
@@ -65,11 +65,11 @@
 
 slope('heap bytes per ledger entry, control replica', [10_000, 20_000, 40_000, 80_000], count => heapOf(() => createLedger(count)));
 
-slope('snapshot bytes per ledger entry', [10_000, 20_000, 40_000, 80_000], count => encodeValue(createLedger(count).save()).length);
+slope('snapshot bytes per ledger entry', [10_000, 20_000, 40_000, 80_000], count => encodeCbor(createLedger(count).save()).length);
 
 slope('snapshot microseconds per ledger entry', [10_000, 20_000, 40_000, 80_000], count => {
 	const ledger = createLedger(count);
-	return cpuOf(() => encodeValue(ledger.save()), 5);
+	return cpuOf(() => encodeCbor(ledger.save()), 5);
 });
 
 slope('leader microseconds per renewal of a view lease', [50, 100, 200, 380], count => {
@@ -78,7 +78,7 @@
 	const frames = Array.from({length: count}, (_, index) => encodeFrame(createRenewal(index, state.viewVersion)).subarray(4));
 	return cpuOf(() => {
 		for (const frame of frames) {
-			const message = decodeValue(frame) as Renew;
+			const message = decodeCbor(frame) as Renew;
 			validate('Message', message);
 			const leaseMs = controller.renew(message, 1);
 			encodeFrame(createRenewed(leaseMs, state.updateSince(message.version)));
@@ -129,14 +129,14 @@
 });
 
 slope('replica microseconds per claim and settlement applied', [1000, 2000, 4000, 8000], count => {
-	const frames = Array.from({length: count}, (_, index) => createClaimPair(index).map(command => encodeValue(command)));
+	const frames = Array.from({length: count}, (_, index) => createClaimPair(index).map(command => encodeCbor(command)));
 	return cpuOf(() => {
 		const state = new ControlState();
 		let index = 0;
 		for (const pair of frames) {
 			for (const data of pair) {
 				index++;
-				state.apply(decodeValue(data) as Command, index);
+				state.apply(decodeCbor(data) as Command, index);
 			}
 		}
 	}, 5);
@@ -217,7 +217,7 @@
 
 			const frame = encodeFrame(createGossip(index, facts));
 			bytes += frame.length;
-			const message = decodeValue(frame.subarray(4)) as Gossip;
+			const message = decodeCbor(frame.subarray(4)) as Gossip;
 			validate('Message', message);
 			for (const fact of message.facts) {
 				directories[target]!.merge(fact, round * ROUND_MS);
--- a/dev/calls.ts
+++ b/dev/calls.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import {ANSWER_TOKENS, expectedAnswer} from '../fakes/answer.js';
+import {DEFAULT_COMPLETION_TOKENS, generateCompletion} from '../fakes/completion.js';
 import type {ProcessFleet, ProcessRecord} from './fleet.js';
 
 export type StreamResult = {
@@ -51,9 +51,9 @@
 		}
 	}
 
-	const count = Math.min(maxTokens ?? Number.POSITIVE_INFINITY, ANSWER_TOKENS[model] ?? 50);
+	const count = Math.min(maxTokens ?? Number.POSITIVE_INFINITY, DEFAULT_COMPLETION_TOKENS[model] ?? 50);
 	return {
-		isWhole: isDone && text === expectedAnswer(`user: ${content}`, count),
+		isWhole: isDone && text === generateCompletion(`user: ${content}`, count),
 		status: response.status,
 		code: Number(response.headers.get('carawayhoist-code') ?? 0),
 		text,
--- a/dev/fuzz/checks.ts
+++ b/dev/fuzz/checks.ts
@@ -8,7 +8,7 @@
 import type {
 	Command, Configuration, Entry, Outcome, Resource, Snapshot,
 } from '../../src/generated/types.js';
-import {decodeValue} from '../../src/wire/frame.js';
+import {decodeCbor} from '../../src/wire/frame.js';
 import type {ControlProcess} from './control.js';
 import type {Mutation} from './mutations.js';
 
@@ -220,7 +220,7 @@
 			this.#waiting.delete(entry.index);
 			this.#referenceIndex = entry.index;
 			if (entry.type === 'command') {
-				const command = decodeValue(entry.data) as Command;
+				const command = decodeCbor(entry.data) as Command;
 				const isJudgedAnew = this.#mutation === 'no-request-memory' && command.type === 'put';
 				this.reference.apply(isJudgedAnew ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
 				this.#digests.set(this.reference.viewVersion, describeResources(this.reference.listResources()));
--- a/dev/fuzz/control.ts
+++ b/dev/fuzz/control.ts
@@ -17,7 +17,7 @@
 import type {
 	Command, CommandEntry, Configuration, ConsensusBody, Entry, Member, Outcome, Renew, ViewUpdate,
 } from '../../src/generated/types.js';
-import {decodeValue, encodeValue} from '../../src/wire/frame.js';
+import {decodeCbor, encodeCbor} from '../../src/wire/frame.js';
 import type {FakeEngineProcess} from './backend.js';
 import type {Checks} from './checks.js';
 import {consensusMechanisms, orderMechanisms, type Mutation} from './mutations.js';
@@ -141,7 +141,7 @@
 		}
 
 		this.#pending.set(replica.lastIndex + 1, {term: replica.term, reply});
-		this.#run(replica.step({type: 'propose', data: [encodeValue(command)]}, this.#context.world.nowMs));
+		this.#run(replica.step({type: 'propose', data: [encodeCbor(command)]}, this.#context.world.nowMs));
 	}
 
 	read(reply: Reply<ControlState>): void {
@@ -216,7 +216,7 @@
 	}
 
 	#restoreState(data: Uint8Array): ControlState {
-		return this.#createState(decodeValue(data) as StateImage);
+		return this.#createState(decodeCbor(data) as StateImage);
 	}
 
 	#tick(): void {
@@ -225,7 +225,7 @@
 		this.#run(replica.step({type: 'tick'}, world.nowMs));
 		const applied = this.state.version;
 		if (applied - replica.snapshotIndex > COMPACT_AFTER_ENTRIES) {
-			this.#run(replica.step({type: 'compact', index: applied, data: encodeValue(this.state.save())}, world.nowMs));
+			this.#run(replica.step({type: 'compact', index: applied, data: encodeCbor(this.state.save())}, world.nowMs));
 		}
 	}
 
@@ -471,7 +471,7 @@
 	}
 
 	#applyCommand(entry: CommandEntry): Outcome {
-		const command = decodeValue(entry.data) as Command;
+		const command = decodeCbor(entry.data) as Command;
 		const isJudgedAnew = this.#context.mutation === 'no-request-memory' && command.type === 'put';
 		return this.state.apply(isJudgedAnew ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
 	}
--- a/dev/generate.ts
+++ b/dev/generate.ts
@@ -51,7 +51,7 @@
 	const outputs = new Map<string, string>();
 	const bundle = await readBundle();
 	outputs.set('src/generated/types.ts', await renderTypes(bundle));
-	outputs.set('src/generated/checkers.ts', renderCheckers(bundle, ['Settings', 'Specification', 'Announcement', 'Deployment'], {allErrors: true, useDefaults: true}));
+	outputs.set('src/generated/checkers.ts', renderCheckers(bundle, ['Settings', 'Specification', 'Announcement', 'PlatformSettings'], {allErrors: true, useDefaults: true}));
 	// Messages between our own processes stop at the first fault: a valid one costs less to check.
 	outputs.set('src/generated/messages.ts', renderCheckers(bundle, ['Message'], {}));
 	const errors = JSON.parse(await readFile(path.join(ROOT, 'schema/errors.json'), 'utf8')) as ErrorRow[];
--- a/fakes/backend.ts
+++ b/fakes/backend.ts
@@ -8,13 +8,13 @@
 import type {AddressInfo} from 'node:net';
 import type {Announcement} from '../src/generated/types.js';
 
-export type BackendOptions = {
+export type FakeBackendOptions = {
 	readonly name: string;
 	readonly port?: number;
 	readonly dataCentre?: string;
 	/** Entry hosts, such as `http://127.0.0.1:8080`; announcements go to each in turn, as through a balancer. */
 	readonly entries: readonly string[];
-	readonly announceEveryMs?: number;
+	readonly announceIntervalMs?: number;
 	/** Port to announce instead of the own one: that of something between the two ends. */
 	readonly announcedPort?: number;
 	/** Rises with each start. */
@@ -25,8 +25,8 @@
 const ANNOUNCE_TIMEOUT_MS = 1000;
 
 /** A fake backend server. Whoever started it stops it. */
-export abstract class Backend {
-	readonly options: BackendOptions;
+export abstract class FakeBackend {
+	readonly options: FakeBackendOptions;
 	readonly #server: http.Server;
 	readonly #incarnation: number;
 	#timer: NodeJS.Timeout | undefined;
@@ -34,7 +34,7 @@
 	#port = 0;
 	#isLeaving = false;
 
-	constructor(options: BackendOptions) {
+	constructor(options: FakeBackendOptions) {
 		this.options = options;
 		this.#incarnation = options.incarnation ?? Date.now();
 		this.#server = http.createServer((request, response) => {
@@ -62,13 +62,13 @@
 		this.#port = (this.#server.address() as AddressInfo).port;
 		this.#timer = setInterval(() => {
 			this.announce();
-		}, this.options.announceEveryMs ?? ANNOUNCE_EVERY_MS);
+		}, this.options.announceIntervalMs ?? ANNOUNCE_EVERY_MS);
 		this.announce();
 		return this.#port;
 	}
 
 	/** Announces that no new work is taken. */
-	leave(): void {
+	announceLeaving(): void {
 		this.#isLeaving = true;
 		for (const _entry of this.options.entries) {
 			this.announce();
@@ -76,7 +76,7 @@
 	}
 
 	/** Breaks every open connection; new ones are still accepted. */
-	breakConnections(): void {
+	closeConnections(): void {
 		this.#server.closeAllConnections();
 	}
 
@@ -97,7 +97,7 @@
 			sequence: this.#sequence,
 			...(dataCentre === undefined ? {} : {dataCentre}),
 			...(this.#isLeaving ? {leaving: true} : {}),
-			...this.describe(),
+			...this.describeAnnouncement(),
 		};
 		const entry = entries[this.#sequence % entries.length];
 		if (entry !== undefined) {
@@ -106,9 +106,9 @@
 	}
 
 	/** What the announcement says beyond name and address. */
-	protected abstract describe(): Pick<Announcement, 'kind'> & Partial<Announcement>;
+	protected abstract describeAnnouncement(): Pick<Announcement, 'kind'> & Partial<Announcement>;
 
-	protected abstract handle(request: http.IncomingMessage, response: http.ServerResponse, body: string): Promise<void> | void;
+	protected abstract handleRequest(request: http.IncomingMessage, response: http.ServerResponse, body: string): Promise<void> | void;
 
 	async #serve(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
 		const chunks: Buffer[] = [];
@@ -120,7 +120,7 @@
 			return;
 		}
 
-		await this.handle(request, response, Buffer.concat(chunks).toString('utf8'));
+		await this.handleRequest(request, response, Buffer.concat(chunks).toString('utf8'));
 	}
 }
 
@@ -132,7 +132,7 @@
  * replyJson(response, 200, {ok: true});
  * ```
  */
-export function replyJson(response: http.ServerResponse, status: number, value: unknown, headers: Readonly<Record<string, string>> = {}): void {
+export function sendJson(response: http.ServerResponse, status: number, value: unknown, headers: Readonly<Record<string, string>> = {}): void {
 	const body = JSON.stringify(value);
 	response.writeHead(status, {'content-type': 'application/json', 'content-length': Buffer.byteLength(body), ...headers});
 	response.end(body);
--- a/fakes/answer.ts
+++ b/fakes/completion.ts
@@ -13,7 +13,7 @@
  * answerToken('user: Hello', 0); // 'k3f9 '
  * ```
  */
-export function answerToken(prompt: string, offset: number): string {
+export function generateToken(prompt: string, offset: number): string {
 	return `${createHash('sha1').update(`${offset}\n`).update(prompt).digest('hex').slice(0, 4)} `;
 }
 
@@ -25,9 +25,9 @@
  * expectedAnswer('user: Hello', 2); // 'k3f9 01ab '
  * ```
  */
-export function expectedAnswer(prompt: string, tokens: number): string {
-	return Array.from({length: tokens}, (_, offset) => answerToken(prompt, offset)).join('');
+export function generateCompletion(prompt: string, tokens: number): string {
+	return Array.from({length: tokens}, (_, offset) => generateToken(prompt, offset)).join('');
 }
 
 /** Tokens of an answer without a limit, by model. */
-export const ANSWER_TOKENS: Readonly<Record<string, number>> = {'summary-1': 24, 'chat-1': 120};
+export const DEFAULT_COMPLETION_TOKENS: Readonly<Record<string, number>> = {'summary-1': 24, 'chat-1': 120};
--- a/fakes/engine.ts
+++ b/fakes/engine.ts
@@ -6,10 +6,10 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import process from 'node:process';
 import type {Announcement} from '../src/generated/types.js';
-import {ANSWER_TOKENS, answerToken} from './answer.js';
-import {Backend, replyJson, type BackendOptions} from './backend.js';
+import {DEFAULT_COMPLETION_TOKENS, generateToken} from './completion.js';
+import {FakeBackend, sendJson, type FakeBackendOptions} from './backend.js';
 
-export type EngineOptions = BackendOptions & {
+export type FakeEngineOptions = FakeBackendOptions & {
 	readonly models?: readonly string[];
 	readonly role?: 'prefill' | 'decode' | 'mixed';
 	readonly checksFence?: boolean;
@@ -17,9 +17,9 @@
 	readonly stepMs?: number;
 	readonly prefillTokensPerMs?: number;
 	/** Time that a role change or a load takes, milliseconds. */
-	readonly awayMs?: number;
+	readonly orderDurationMs?: number;
 	/** What to do with a request that crashes engines; by default the process dies. */
-	readonly onPoison?: () => void;
+	readonly onCrash?: () => void;
 };
 
 type Order = {
@@ -45,8 +45,8 @@
 const EXIT_CRASHED = 70;
 
 /** A fake engine. */
-export class FakeEngine extends Backend {
-	readonly #options: EngineOptions;
+export class FakeEngine extends FakeBackend {
+	readonly #options: FakeEngineOptions;
 	readonly #runs = new Map<string, number>();
 	readonly #streams = new Set<ServerResponse>();
 	readonly #orders: Order[] = [];
@@ -60,10 +60,10 @@
 	#refused = 0;
 	#imported = 0;
 
-	constructor(options: EngineOptions) {
+	constructor(options: FakeEngineOptions) {
 		super(options);
 		this.#options = options;
-		this.#models = [...options.models ?? Object.keys(ANSWER_TOKENS)];
+		this.#models = [...options.models ?? Object.keys(DEFAULT_COMPLETION_TOKENS)];
 		this.#role = options.role ?? 'mixed';
 	}
 
@@ -72,7 +72,7 @@
 		return this.#streams.size;
 	}
 
-	protected override describe(): Pick<Announcement, 'kind'> & Partial<Announcement> {
+	protected override describeAnnouncement(): Pick<Announcement, 'kind'> & Partial<Announcement> {
 		return {
 			kind: 'engine',
 			models: this.#models,
@@ -85,18 +85,18 @@
 		};
 	}
 
-	protected override handle(request: IncomingMessage, response: ServerResponse, body: string): void {
+	protected override handleRequest(request: IncomingMessage, response: ServerResponse, body: string): void {
 		const route = `${request.method} ${request.url}`;
 		switch (route) {
 			case 'GET /runs': {
-				replyJson(response, 200, {
+				sendJson(response, 200, {
 					requests: Object.fromEntries(this.#runs), orders: this.#orders, cutByOrder: this.#cutByOrder, cancelled: this.#cancelled, refused: this.#refused, imported: this.#imported, role: this.#role, running: this.#streams.size,
 				});
 				break;
 			}
 
 			case 'GET /orders': {
-				replyJson(response, 200, {order: this.#highest, state: this.#orderState});
+				sendJson(response, 200, {order: this.#highest, state: this.#orderState});
 				break;
 			}
 
@@ -112,19 +112,19 @@
 			}
 
 			default: {
-				replyJson(response, 404, {error: 'not found'});
+				sendJson(response, 404, {error: 'not found'});
 			}
 		}
 	}
 
 	#takeOrder(response: ServerResponse, order: Order): void {
 		if (this.#options.checksFence !== false && order.order < this.#highest) {
-			replyJson(response, 409, {order: this.#highest, state: this.#orderState, note: 'old fencing number'});
+			sendJson(response, 409, {order: this.#highest, state: this.#orderState, note: 'old fencing number'});
 			return;
 		}
 
 		if (order.order === this.#highest) {
-			replyJson(response, 200, {order: this.#highest, state: this.#orderState});
+			sendJson(response, 200, {order: this.#highest, state: this.#orderState});
 			return;
 		}
 
@@ -139,8 +139,8 @@
 
 		setTimeout(() => {
 			this.#finishOrder(order);
-		}, this.#options.awayMs ?? 300);
-		replyJson(response, 200, {order: this.#highest, state: this.#orderState});
+		}, this.#options.orderDurationMs ?? 300);
+		sendJson(response, 200, {order: this.#highest, state: this.#orderState});
 	}
 
 	#finishOrder(order: Order): void {
@@ -161,21 +161,21 @@
 	#complete(request: IncomingMessage, response: ServerResponse, body: CompletionBody): void {
 		if (this.#isAway || !this.#models.includes(body.model)) {
 			this.#refused++;
-			replyJson(response, 503, {error: 'not serving'}, {'carawayhoist-outcome': 'not-run'});
+			sendJson(response, 503, {error: 'not serving'}, {'carawayhoist-outcome': 'not-run'});
 			return;
 		}
 
 		const prompt = body.messages ? body.messages.map(({role, content}) => `${role}: ${content}`).join('\n') : body.prompt ?? '';
 		this.#runs.set(prompt.slice(0, 80), (this.#runs.get(prompt.slice(0, 80)) ?? 0) + 1);
 		const id = String(request.headers['x-request-id']);
-		const total = Math.min(body.max_completion_tokens ?? body.max_tokens ?? Number.POSITIVE_INFINITY, ANSWER_TOKENS[body.model] ?? 50);
+		const total = Math.min(body.max_completion_tokens ?? body.max_tokens ?? Number.POSITIVE_INFINITY, DEFAULT_COMPLETION_TOKENS[body.model] ?? 50);
 		const promptTokens = Math.ceil(prompt.length / 4);
 		const prefillMs = body.kv ? 0 : promptTokens / (this.#options.prefillTokensPerMs ?? 20);
 		this.#imported += body.kv ? 1 : 0;
 		this.#streams.add(response);
 		const timer = setTimeout(() => {
 			if (prompt.includes(POISON_WORD)) {
-				(this.#options.onPoison ?? (() => process.exit(EXIT_CRASHED)))();
+				(this.#options.onCrash ?? (() => process.exit(EXIT_CRASHED)))();
 				return;
 			}
 
@@ -204,14 +204,14 @@
 
 		const timer = setInterval(() => {
 			if (offset < total) {
-				const text = answerToken(prompt, offset);
+				const text = generateToken(prompt, offset);
 				write({index: 0, ...(isChat ? {delta: {content: text}} : {text}), finish_reason: null}, {offset});
 				offset++;
 				return;
 			}
 
 			clearInterval(timer);
-			const reason = total < (ANSWER_TOKENS['chat-1'] ?? 0) ? 'length' : 'stop';
+			const reason = total < (DEFAULT_COMPLETION_TOKENS['chat-1'] ?? 0) ? 'length' : 'stop';
 			write({index: 0, ...(isChat ? {delta: {}} : {text: ''}), finish_reason: reason}, handoff);
 			write(undefined, {usage: {prompt_tokens: promptTokens, completion_tokens: total, total_tokens: promptTokens + total}});
 			response.end('data: [DONE]\n\n');
--- a/fakes/main.ts
+++ b/fakes/main.ts
@@ -9,7 +9,7 @@
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 import {FakeEngine} from './engine.js';
-import {FakePlain} from './plain.js';
+import {FakePlainServer} from './plain.js';
 
 const {values} = parseArgs({
 	options: {
@@ -37,11 +37,11 @@
 		prefillTokensPerMs: values['prefill-rate'] === undefined ? undefined : Number(values['prefill-rate']),
 		role: values.role as 'prefill' | 'decode' | 'mixed' | undefined,
 	})
-	: new FakePlain({...common, workMs: values.work === undefined ? undefined : Number(values.work)});
+	: new FakePlainServer({...common, processingMs: values.work === undefined ? undefined : Number(values.work)});
 const port = await backend.start();
 process.stdout.write(`${JSON.stringify({name: values.name, port})}\n`);
 process.on('SIGTERM', () => {
-	backend.leave();
+	backend.announceLeaving();
 	setTimeout(() => {
 		backend.stop();
 		process.exit(0);
--- a/fakes/plain.ts
+++ b/fakes/plain.ts
@@ -5,12 +5,12 @@
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Announcement} from '../src/generated/types.js';
-import {Backend, replyJson, type BackendOptions} from './backend.js';
+import {FakeBackend, sendJson, type FakeBackendOptions} from './backend.js';
 
-export type PlainOptions = BackendOptions & {
+export type FakePlainServerOptions = FakeBackendOptions & {
 	readonly services?: readonly string[];
 	/** Time from taking a call to answering it, milliseconds. */
-	readonly workMs?: number;
+	readonly processingMs?: number;
 };
 
 type Run = {
@@ -20,17 +20,17 @@
 };
 
 /** A fake plain server. */
-export class FakePlain extends Backend {
-	readonly #options: PlainOptions;
+export class FakePlainServer extends FakeBackend {
+	readonly #options: FakePlainServerOptions;
 	readonly #runs: Run[] = [];
 
-	constructor(options: PlainOptions) {
+	constructor(options: FakePlainServerOptions) {
 		super(options);
 		this.#options = options;
 	}
 
 	/** How often each key ran here. */
-	countByKey(): Record<string, number> {
+	countRunsByKey(): Record<string, number> {
 		const counts: Record<string, number> = {};
 		for (const {key} of this.#runs) {
 			counts[key] = (counts[key] ?? 0) + 1;
@@ -39,32 +39,32 @@
 		return counts;
 	}
 
-	protected override describe(): Pick<Announcement, 'kind'> & Partial<Announcement> {
+	protected override describeAnnouncement(): Pick<Announcement, 'kind'> & Partial<Announcement> {
 		return {
 			kind: 'plain', services: [...this.#options.services ?? ['booking', 'signal']], capacity: 64, load: {running: 0, waiting: 0},
 		};
 	}
 
-	protected override async handle(request: IncomingMessage, response: ServerResponse, body: string): Promise<void> {
+	protected override async handleRequest(request: IncomingMessage, response: ServerResponse, body: string): Promise<void> {
 		const route = `${request.method} ${request.url}`;
 		if (route === 'GET /runs') {
-			replyJson(response, 200, {keys: this.countByKey(), requests: this.#runs});
+			sendJson(response, 200, {keys: this.countRunsByKey(), requests: this.#runs});
 			return;
 		}
 
 		const key = String(request.headers['idempotency-key'] ?? '');
 		const requestId = String(request.headers['x-request-id'] ?? '');
 		const answer = this.#run(route, key, body);
-		if (this.#options.workMs !== undefined) {
+		if (this.#options.processingMs !== undefined) {
 			await new Promise(resolve => {
-				setTimeout(resolve, this.#options.workMs);
+				setTimeout(resolve, this.#options.processingMs);
 			});
 		}
 
 		if (answer) {
-			replyJson(response, 200, answer, {'x-request-id': requestId});
+			sendJson(response, 200, answer, {'x-request-id': requestId});
 		} else {
-			replyJson(response, 404, {error: 'not found'}, {'x-request-id': requestId});
+			sendJson(response, 404, {error: 'not found'}, {'x-request-id': requestId});
 		}
 	}
 
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -36,7 +36,7 @@
  * await pause(50);
  * ```
  */
-export async function pause(durationMs: number): Promise<void> {
+export async function sleep(durationMs: number): Promise<void> {
 	if (durationMs > 0) {
 		await new Promise(resolve => {
 			setTimeout(resolve, durationMs);
--- a/src/base/logger.ts
+++ b/src/base/logger.ts
@@ -7,7 +7,7 @@
 import {pino} from 'pino';
 
 /** The parts of the system; each has a fixed prefix. */
-export const PARTS = {
+export const COMPONENTS = {
 	daemon: 'daemon',
 	consensus: 'consensus',
 	control: 'control',
@@ -16,19 +16,19 @@
 	entry: 'entry',
 } as const;
 
-export type Part = keyof typeof PARTS;
-export type Level = 'debug' | 'info' | 'warn' | 'error' | 'silent';
-export type Fields = Readonly<Record<string, unknown>>;
+export type Component = keyof typeof COMPONENTS;
+export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'silent';
+export type LogFields = Readonly<Record<string, unknown>>;
 
 export interface Logger {
-	debug(sentence: string, fields?: Fields): void;
-	info(sentence: string, fields?: Fields): void;
-	warn(sentence: string, fields?: Fields): void;
-	error(sentence: string, fields?: Fields): void;
+	debug(sentence: string, fields?: LogFields): void;
+	info(sentence: string, fields?: LogFields): void;
+	warn(sentence: string, fields?: LogFields): void;
+	error(sentence: string, fields?: LogFields): void;
 }
 
 /** Creates the logger of one part. */
-export type LoggerFactory = (part: Part) => Logger;
+export type LoggerFactory = (part: Component) => Logger;
 
 /**
  * Creates a factory of loggers that write JSON lines to standard output.
@@ -39,11 +39,11 @@
  * log.info('Sent to engine e3.', {request: 'r1', reason: 'shortest'}); // "routing: Sent to engine e3."
  * ```
  */
-export function createLoggers(level: Level, base: Fields): LoggerFactory {
+export function createLoggers(level: LogLevel, base: LogFields): LoggerFactory {
 	const destination = pino.destination({fd: 1, sync: false});
 	const root = pino({level, base: {...base}, timestamp: pino.stdTimeFunctions.isoTime}, destination);
 	return part => {
-		const prefix = `${PARTS[part]}: `;
+		const prefix = `${COMPONENTS[part]}: `;
 		return {
 			debug(sentence, fields = {}) {
 				root.debug(fields, prefix + sentence);
@@ -91,7 +91,7 @@
  * const loggers = createBoundedLoggers('info', {host: 'a1'}, () => metrics.dropped.inc());
  * ```
  */
-export function createBoundedLoggers(level: Level, base: Fields, onDropped: () => void): LoggerFactory {
+export function createRateLimitedLoggers(level: LogLevel, base: LogFields, onDropped: () => void): LoggerFactory {
 	const loggers = createLoggers(level, base);
 	let tokens = LOG_BURST_LINES;
 	let atMs = performance.now();
--- a/src/base/problem.ts
+++ b/src/base/problem.ts
@@ -8,7 +8,7 @@
 export type ProblemName = keyof typeof CODES;
 
 /** What a problem says about the work: whether it ran. */
-export type Verdict = (typeof CODES)[ProblemName]['says'];
+export type ProblemOutcome = (typeof CODES)[ProblemName]['says'];
 
 export type Problem = {
 	readonly type: 'problem';
@@ -16,7 +16,7 @@
 	readonly code: number;
 	/** HTTP status towards callers and operators; 0 for problems of a process. */
 	readonly status: number;
-	readonly verdict: Verdict;
+	readonly outcome: ProblemOutcome;
 	readonly text: string;
 	readonly retryAfterSeconds?: number;
 };
@@ -36,7 +36,7 @@
 	const row = CODES[name];
 	const text = detail === undefined ? row.text : `${row.text} ${detail}`;
 	return {
-		type: 'problem', name, code: row.code, status: row.status, verdict: row.says, text, retryAfterSeconds,
+		type: 'problem', name, code: row.code, status: row.status, outcome: row.says, text, retryAfterSeconds,
 	};
 }
 
--- a/src/base/validate.ts
+++ b/src/base/validate.ts
@@ -6,15 +6,15 @@
 import type {ErrorObject, ValidateFunction} from 'ajv';
 import * as Either from 'fp-ts/lib/Either.js';
 import {
-	checkAnnouncement, checkDeployment, checkSettings, checkSpecification,
+	checkAnnouncement, checkPlatformSettings, checkSettings, checkSpecification,
 } from '../generated/checkers.js';
 import {checkMessage} from '../generated/messages.js';
 import type {
-	Announcement, Deployment, Message, Settings, Specification,
+	Announcement, PlatformSettings, Message, Settings, Specification,
 } from '../generated/types.js';
 
 /** A fault in a value: where it stands and what would be allowed. */
-export type Fault = {
+export type ValidationError = {
 	/** JSON pointer. */
 	readonly pointer: string;
 	readonly text: string;
@@ -25,11 +25,11 @@
 	readonly Specification: Specification;
 	readonly Announcement: Announcement;
 	readonly Message: Message;
-	readonly Deployment: Deployment;
+	readonly PlatformSettings: PlatformSettings;
 };
 
 const CHECKERS = {
-	Settings: checkSettings, Specification: checkSpecification, Announcement: checkAnnouncement, Message: checkMessage, Deployment: checkDeployment,
+	Settings: checkSettings, Specification: checkSpecification, Announcement: checkAnnouncement, Message: checkMessage, PlatformSettings: checkPlatformSettings,
 } as unknown as Record<keyof Checkable, ValidateFunction>;
 
 /**
@@ -41,7 +41,7 @@
  * validate('Announcement', {server: 'a'}); // Either.left([{pointer: '/kind', text: 'is required'}, …])
  * ```
  */
-export function validate<Name extends keyof Checkable>(name: Name, value: unknown): Either.Either<Fault[], Checkable[Name]> {
+export function validate<Name extends keyof Checkable>(name: Name, value: unknown): Either.Either<ValidationError[], Checkable[Name]> {
 	const checker = CHECKERS[name];
 	return checker(value)
 		? Either.right(value as Checkable[Name])
@@ -56,11 +56,11 @@
  * formatFaults([{pointer: '/host', text: 'is required'}]); // '/host is required'
  * ```
  */
-export function formatFaults(faults: readonly Fault[]): string {
+export function formatValidationErrors(faults: readonly ValidationError[]): string {
 	return faults.map(fault => `${fault.pointer} ${fault.text}`).join('; ');
 }
 
-function describeFault(error: ErrorObject): Fault {
+function describeFault(error: ErrorObject): ValidationError {
 	const parameters = error.params as {
 		missingProperty?: string;
 		additionalProperty?: string;
--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -16,10 +16,10 @@
 import path from 'node:path';
 import {crc32} from 'node:zlib';
 import * as Either from 'fp-ts/lib/Either.js';
-import {pause} from '../base/clock.js';
+import {sleep} from '../base/clock.js';
 import {createProblem, type Problem} from '../base/problem.js';
 import type {Configuration, Entry, Snapshot} from '../generated/types.js';
-import {decodeValue, encodeValue} from '../wire/frame.js';
+import {decodeCbor, encodeCbor} from '../wire/frame.js';
 import type {HardState, LogRecord} from './replica.js';
 
 export type Image = {
@@ -147,9 +147,9 @@
 			return Either.left(createProblem('storageCorrupt', `snapshot-${generation}`));
 		}
 
-		let image: Image = {...EMPTY_IMAGE, snapshot: decodeValue(payload) as Snapshot};
+		let image: Image = {...EMPTY_IMAGE, snapshot: decodeCbor(payload) as Snapshot};
 		for (const frame of log.right.payloads) {
-			image = applyRecords(image, decodeValue(frame) as LogRecord[]);
+			image = applyRecords(image, decodeCbor(frame) as LogRecord[]);
 		}
 
 		const file = await open(logFile, 'a');
@@ -205,7 +205,7 @@
 					return false;
 				}
 
-				await pause(WRITE_RETRY_MS);
+				await sleep(WRITE_RETRY_MS);
 			}
 		}
 	}
@@ -226,7 +226,7 @@
 			return;
 		}
 
-		const frame = createFrame(encodeValue(records));
+		const frame = createFrame(encodeCbor(records));
 		if (this.#isTorn) {
 			await this.#file.truncate(this.#length);
 		}
@@ -364,8 +364,8 @@
 		{type: 'hard', state: image.hard},
 		{type: 'entries', entries: image.entries},
 	];
-	await writeWhole(folder, `snapshot-${generation}`, createFrame(encodeValue(image.snapshot)));
-	const log = createFrame(encodeValue(records));
+	await writeWhole(folder, `snapshot-${generation}`, createFrame(encodeCbor(image.snapshot)));
+	const log = createFrame(encodeCbor(records));
 	await writeWhole(folder, `log-${generation}`, log);
 	return log.length;
 }
--- a/src/control/client.ts
+++ b/src/control/client.ts
@@ -5,7 +5,7 @@
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import type {TaskEither} from 'fp-ts/lib/TaskEither.js';
-import {pause, type Clock} from '../base/clock.js';
+import {sleep, type Clock} from '../base/clock.js';
 import {createProblem, findProblemName, type Problem} from '../base/problem.js';
 import type {
 	Command, Listing, Member, Members, MembersReply, Message, Proposed, Refused, Renew, Renewed,
@@ -115,7 +115,7 @@
 
 				mayHaveRun ||= name === undefined || name === 'proposalUnknown';
 				this.#turn(refusal, generation);
-				await pause(RETRY_PAUSE_MS);
+				await sleep(RETRY_PAUSE_MS);
 			}
 
 			return Either.left(createProblem(mayHaveRun && question.type === 'propose' ? 'proposalUnknown' : 'noQuorum', undefined, 1));
--- a/src/control/service.ts
+++ b/src/control/service.ts
@@ -19,7 +19,7 @@
 import type {
 	Announcement, Command, CommandEntry, Configuration, Member, Members, MembersReply, Message, Outcome, Peer, Propose, Read, Renew, Welcome,
 } from '../generated/types.js';
-import {decodeValue, encodeValue} from '../wire/frame.js';
+import {decodeCbor, encodeCbor} from '../wire/frame.js';
 import {
 	connect, ConnectionPool, type Address, type Connection,
 } from '../wire/connection.js';
@@ -162,7 +162,7 @@
 
 	/** Proposes a command here; refused unless this replica leads. */
 	async propose(command: Command): Promise<Either.Either<Problem, Committed>> {
-		return this.#node ? this.#node.propose(encodeValue(command)) : Either.left(createProblem('notLeader'));
+		return this.#node ? this.#node.propose(encodeCbor(command)) : Either.left(createProblem('notLeader'));
 	}
 
 	/** Notes that the disk takes no writes; the replica goes on as one whose writes are slow. */
@@ -321,9 +321,9 @@
 			skip: index => {
 				this.#state.skip(index);
 			},
-			save: () => encodeValue(this.#state.save()),
+			save: () => encodeCbor(this.#state.save()),
 			restore: data => {
-				this.#state = new ControlState(decodeValue(data) as StateImage);
+				this.#state = new ControlState(decodeCbor(data) as StateImage);
 			},
 		};
 		const configured = first ? {...EMPTY_SNAPSHOT, configuration: first} : snapshot;
@@ -350,7 +350,7 @@
 	}
 
 	#apply(entry: CommandEntry): Outcome {
-		return this.#state.apply(decodeValue(entry.data) as Command, entry.index);
+		return this.#state.apply(decodeCbor(entry.data) as Command, entry.index);
 	}
 
 	#onLeadership({role, term}: Leadership): void {
@@ -430,7 +430,7 @@
 	async #run(effect: ControllerEffect): Promise<void> {
 		if (effect.type === 'propose') {
 			this.#logProposal(effect.command);
-			await this.#node?.propose(encodeValue(effect.command));
+			await this.#node?.propose(encodeCbor(effect.command));
 			return;
 		}
 
@@ -478,7 +478,7 @@
 		}
 
 		const command = {...message.command, at: this.#options.clock.wallMs()};
-		const result = await node.propose(encodeValue(command));
+		const result = await node.propose(encodeCbor(command));
 		if (Either.isLeft(result)) {
 			this.#refuse(message.id, result.left, connection);
 			return;
--- a/src/daemon/carawayhoistd.ts
+++ b/src/daemon/carawayhoistd.ts
@@ -82,7 +82,7 @@
 	process.stdout.write(`${file}: right (host ${settings.right.host}, roles ${settings.right.roles.join(', ')})\n`);
 }
 
-function printFailure(file: string, {problem, faults}: SettingsFailure): void {
+function printFailure(file: string, {problem, errors: faults}: SettingsFailure): void {
 	process.stderr.write(`${file}: ${problem.code} ${problem.text}\n`);
 	for (const fault of faults) {
 		process.stderr.write(`  ${fault.pointer} ${fault.text}\n`);
--- a/src/daemon/controlhost.ts
+++ b/src/daemon/controlhost.ts
@@ -32,20 +32,20 @@
 	readonly host: string;
 	readonly dataCentre: string;
 	/** Where the system's own processes reach this host. */
-	readonly peer: Address;
-	readonly folder: string;
+	readonly peerAddress: Address;
+	readonly dataFolder: string;
 	readonly seeds: readonly Address[];
 	readonly firstStart: boolean;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly loggers: LoggerFactory;
 	readonly metrics: ControlMetrics;
-	readonly dialect: Pick<Dialect, 'readCatalogue'>;
-	readonly createOrders: (findServer: (server: string) => Announcement | undefined) => OrderPort;
+	readonly protocol: Pick<Dialect, 'readCatalogue'>;
+	readonly createOrderTransport: (findServer: (server: string) => Announcement | undefined) => OrderPort;
 	/** Time between the orders of two control hosts, milliseconds. */
 	readonly leaseMs: number;
 	/** Interval of announcements, milliseconds. */
-	readonly announceMs: number;
+	readonly announceIntervalMs: number;
 };
 
 /** Operators turn to another host after a second without an answer. */
@@ -88,7 +88,7 @@
 		this.#listener = listener;
 		this.#startedMs = options.clock.monotonicMs();
 		const {clock, host, dataCentre, seeds} = options;
-		this.#client = new ControlClient({seeds: [options.peer, ...seeds.filter(seed => !isSame(seed, options.peer))], clock, onPushed: () => undefined});
+		this.#client = new ControlClient({seeds: [options.peerAddress, ...seeds.filter(seed => !isSame(seed, options.peerAddress))], clock, onPushed: () => undefined});
 		this.#publisher = new FeedPublisher({
 			host,
 			registry,
@@ -102,7 +102,7 @@
 			host,
 			dataCentre,
 			role: 'control',
-			seeds: seeds.filter(seed => !isSame(seed, options.peer)),
+			seeds: seeds.filter(seed => !isSame(seed, options.peerAddress)),
 			clock,
 			logger: options.loggers('membership'),
 			readVersion: () => Number.MAX_SAFE_INTEGER,
@@ -120,15 +120,15 @@
 
 	/** Opens the data folder and starts. */
 	static async start(options: ControlHostOptions): Promise<Either.Either<Problem, ControlHost>> {
-		const registry = new Registry({...DEFAULT_REGISTRY_TIMING, silentAfterMs: options.announceMs * SILENT_INTERVALS});
+		const registry = new Registry({...DEFAULT_REGISTRY_TIMING, silentAfterMs: options.announceIntervalMs * SILENT_INTERVALS});
 		const holder: {host?: ControlHost} = {};
 		const listener = new Listener((message, connection) => {
 			holder.host?.receive(message, connection);
 		});
-		const {peer} = options;
+		const {peerAddress: peer} = options;
 		const service = await ControlService.start({
 			host: peer.address,
-			folder: options.folder,
+			folder: options.dataFolder,
 			peers: options.seeds.map(seed => ({host: seed.address, ...seed})),
 			self: {host: peer.address, ...peer},
 			listPeers: () => holder.host?.listControlAddresses() ?? options.seeds,
@@ -136,13 +136,13 @@
 			clock: options.clock,
 			random: options.random,
 			loggers: options.loggers,
-			orders: options.createOrders(server => registry.lookup(server)?.announcement),
+			orders: options.createOrderTransport(server => registry.lookup(server)?.announcement),
 			controllerTiming: {...DEFAULT_CONTROLLER_TIMING, successionMs: options.leaseMs + SUCCESSION_MARGIN_MS},
 			// Engines finish what runs before they change their role.
 			orderMechanisms: {...ALL_ORDER_MECHANISMS, awaitViews: false, awaitQuiet: false},
 			listEngines: () => registry.listUsable().filter(({kind}) => kind === 'engine'),
 			onApplied() {
-				holder.host?.noteApplied();
+				holder.host?.handleStateChange();
 			},
 		});
 		if (Either.isLeft(service)) {
@@ -171,11 +171,11 @@
 
 	/** Takes control hosts that the settings name now. */
 	applySettings({seeds}: Pick<ControlHostOptions, 'seeds'>): void {
-		this.#subscription.addSeeds(seeds.filter(seed => !isSame(seed, this.#options.peer)));
+		this.#subscription.addSeeds(seeds.filter(seed => !isSame(seed, this.#options.peerAddress)));
 	}
 
 	/** Takes an announcement; refused without a majority, so that the server turns to another host. */
-	announce(announcement: Announcement): Either.Either<Problem, void> {
+	handleAnnouncement(announcement: Announcement): Either.Either<Problem, void> {
 		if (!this.#service.hasQuorum) {
 			this.#options.metrics.announcements.inc({outcome: 'refused'});
 			return Either.left(createProblem('noQuorum', undefined, 1));
@@ -188,7 +188,7 @@
 	}
 
 	/** Takes a server's leave. */
-	leave(server: string): Either.Either<Problem, void> {
+	deregister(server: string): Either.Either<Problem, void> {
 		if (!this.#service.hasQuorum) {
 			return Either.left(createProblem('noQuorum', undefined, 1));
 		}
@@ -204,7 +204,7 @@
 
 	/** Puts a publication in force, unless a later one is; returns once it cannot be lost any more. */
 	async publish(text: string): Promise<Either.Either<Problem, void>> {
-		const {dialect, metrics} = this.#options;
+		const {protocol: dialect, metrics} = this.#options;
 		const catalogue = dialect.readCatalogue(text);
 		if (Either.isLeft(catalogue)) {
 			metrics.publications.inc({outcome: 'invalid'});
@@ -284,7 +284,7 @@
 	}
 
 	/** Follows the state that the log drives. */
-	noteApplied(): void {
+	handleStateChange(): void {
 		this.#onApplied();
 	}
 
@@ -304,7 +304,7 @@
 	}
 
 	#isWarm(): boolean {
-		return this.#options.clock.monotonicMs() - this.#startedMs > this.#options.announceMs * WARM_INTERVALS;
+		return this.#options.clock.monotonicMs() - this.#startedMs > this.#options.announceIntervalMs * WARM_INTERVALS;
 	}
 
 	#isNew(): boolean {
@@ -329,7 +329,7 @@
 			return;
 		}
 
-		const catalogue = this.#options.dialect.readCatalogue(publication.body);
+		const catalogue = this.#options.protocol.readCatalogue(publication.body);
 		if (Either.isLeft(catalogue)) {
 			this.#logger.error(`Publication ${publication.version} cannot be read.`, {version: publication.version, reason: catalogue.left.text});
 			return;
--- a/src/daemon/entryhost.ts
+++ b/src/daemon/entryhost.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import * as Either from 'fp-ts/lib/Either.js';
-import {pause, type Clock} from '../base/clock.js';
+import {sleep, type Clock} from '../base/clock.js';
 import type {Logger, LoggerFactory} from '../base/logger.js';
 import type {Problem} from '../base/problem.js';
 import type {Random} from '../base/random.js';
@@ -28,14 +28,14 @@
 export type EntryHostOptions = {
 	readonly host: string;
 	readonly dataCentre: string;
-	readonly callers: Address;
+	readonly callerAddress: Address;
 	readonly seeds: readonly Address[];
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly loggers: LoggerFactory;
-	readonly dialect: Dialect;
+	readonly protocol: Dialect;
 	readonly metrics: ServingMetrics;
-	readonly budget: BudgetLimits;
+	readonly retryBudget: BudgetLimits;
 	/** Time from the signal to stop to the end of the process, milliseconds. */
 	readonly graceMs: number;
 };
@@ -64,8 +64,8 @@
 	private constructor(options: EntryHostOptions) {
 		this.#options = options;
 		this.#logger = options.loggers('entry');
-		const {clock, random, dataCentre, dialect, metrics} = options;
-		this.#budget = new RepeatBudget(options.budget);
+		const {clock, random, dataCentre, protocol: dialect, metrics} = options;
+		this.#budget = new RepeatBudget(options.retryBudget);
 		this.#subscription = new FeedSubscription({
 			host: options.host,
 			dataCentre,
@@ -105,7 +105,7 @@
 	/** Listens for callers and subscribes to the control hosts. */
 	static async start(options: EntryHostOptions): Promise<Either.Either<Problem, EntryHost>> {
 		const host = new EntryHost(options);
-		const listening = await host.#gateway.listen(options.callers);
+		const listening = await host.#gateway.listen(options.callerAddress);
 		if (Either.isLeft(listening)) {
 			host.close();
 			return listening;
@@ -120,7 +120,7 @@
 	}
 
 	/** Takes what may change while it runs: control hosts to know, and the budget of repeats. */
-	applySettings({seeds, budget}: Pick<EntryHostOptions, 'seeds' | 'budget'>): void {
+	applySettings({seeds, retryBudget: budget}: Pick<EntryHostOptions, 'seeds' | 'retryBudget'>): void {
 		this.#subscription.addSeeds(seeds);
 		this.#budget.updateLimits(budget);
 	}
@@ -137,10 +137,10 @@
 		this.#isStopping = true;
 		this.#logger.info('Stops: not ready any more.', {active: this.#gateway.activeCount});
 		this.#gateway.beginStop();
-		await pause(Math.min(NOT_READY_MS, graceMs / 2));
+		await sleep(Math.min(NOT_READY_MS, graceMs / 2));
 		this.#gateway.stopAccepting();
 		while (this.#gateway.activeCount > 0 && clock.monotonicMs() - startedMs < graceMs - STOP_MARGIN_MS) {
-			await pause(POLL_MS);
+			await sleep(POLL_MS);
 		}
 
 		this.#logger.info('Stopped.', {active: this.#gateway.activeCount});
@@ -172,7 +172,7 @@
 
 	#apply(bytes: Uint8Array, version: number, control: string): void {
 		const text = inflatePublication(bytes);
-		const catalogue = Either.isLeft(text) ? text : this.#options.dialect.readCatalogue(text.right);
+		const catalogue = Either.isLeft(text) ? text : this.#options.protocol.readCatalogue(text.right);
 		if (Either.isLeft(catalogue)) {
 			this.#logger.error(`Publication ${version} cannot be read.`, {version, control, reason: catalogue.left.text});
 			return;
--- a/src/daemon/host.ts
+++ b/src/daemon/host.ts
@@ -8,7 +8,7 @@
 import {createWriteStream, type WriteStream} from 'node:fs';
 import {readFile} from 'node:fs/promises';
 import * as Either from 'fp-ts/lib/Either.js';
-import {createClock, pause, type Clock} from '../base/clock.js';
+import {createClock, sleep, type Clock} from '../base/clock.js';
 import type {LoggerFactory} from '../base/logger.js';
 import {createProblem, type Problem} from '../base/problem.js';
 import {createRandom, type Random} from '../base/random.js';
@@ -35,7 +35,7 @@
 	readonly loggers: LoggerFactory;
 };
 
-export type HostAddresses = {
+export type HostPorts = {
 	readonly httpPort: number;
 	readonly peerPort: number;
 };
@@ -67,7 +67,7 @@
 	}
 
 	/** Starts the roles; a problem leaves nothing running. */
-	async start(): Promise<Either.Either<Problem, HostAddresses>> {
+	async start(): Promise<Either.Either<Problem, HostPorts>> {
 		const {settings, loggers} = this.#options;
 		const peerPort = await this.#listener.listen(settings.peer);
 		if (Either.isLeft(peerPort)) {
@@ -114,7 +114,7 @@
 		this.#listener.close();
 	}
 
-	async #startEntry(peerPort: number): Promise<Either.Either<Problem, HostAddresses>> {
+	async #startEntry(peerPort: number): Promise<Either.Either<Problem, HostPorts>> {
 		const {settings, loggers} = this.#options;
 		const entry = await EntryRole.start({
 			settings,
@@ -300,10 +300,10 @@
 		const untilMs = clock.monotonicMs() + withinMs;
 		this.#server.beginStop();
 		this.#gossip?.leave();
-		await pause(NOT_READY_MS);
+		await sleep(NOT_READY_MS);
 		this.#server.stopAccepting();
 		while (this.#server.activeCount > 0 && clock.monotonicMs() < untilMs) {
-			await pause(POLL_MS);
+			await sleep(POLL_MS);
 		}
 
 		await this.#viewTask.leave();
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -6,12 +6,12 @@
 import {readFile} from 'node:fs/promises';
 import * as Either from 'fp-ts/lib/Either.js';
 import {createProblem, type Problem} from '../base/problem.js';
-import {validate, type Fault} from '../base/validate.js';
+import {validate, type ValidationError} from '../base/validate.js';
 import type {Settings} from '../generated/types.js';
 
 export type SettingsFailure = {
 	readonly problem: Problem;
-	readonly faults: readonly Fault[];
+	readonly errors: readonly ValidationError[];
 };
 
 /**
@@ -28,10 +28,10 @@
 		value = JSON.parse(await readFile(file, 'utf8'));
 	} catch (error) {
 		const detail = error instanceof Error ? error.message : String(error);
-		return Either.left({problem: createProblem('settingsUnreadable', detail), faults: []});
+		return Either.left({problem: createProblem('settingsUnreadable', detail), errors: []});
 	}
 
-	return checkSettings(value);
+	return validateSettings(value);
 }
 
 /**
@@ -42,50 +42,50 @@
  * checkSettings({host: 'a1'}); // Either.left({problem, faults: [{pointer: '/dataCentre', text: 'is required'}, …]})
  * ```
  */
-export function checkSettings(value: unknown): Either.Either<SettingsFailure, Settings> {
+export function validateSettings(value: unknown): Either.Either<SettingsFailure, Settings> {
 	const checked = validate('Settings', value);
-	const faults = Either.isLeft(checked) ? checked.left : findCrossFaults(checked.right);
-	if (Either.isLeft(checked) || faults.length > 0) {
-		return Either.left({problem: createProblem('settingsInvalid'), faults});
+	const errors = Either.isLeft(checked) ? checked.left : findCrossFaults(checked.right);
+	if (Either.isLeft(checked) || errors.length > 0) {
+		return Either.left({problem: createProblem('settingsInvalid'), errors});
 	}
 
 	return checked;
 }
 
 /** Faults that only show when several settings are seen together. */
-function findCrossFaults(settings: Settings): Fault[] {
-	const faults: Fault[] = [];
+function findCrossFaults(settings: Settings): ValidationError[] {
+	const errors: ValidationError[] = [];
 	const isControl = settings.roles.includes('control');
 	if (!settings.roles.includes('entry')) {
-		faults.push({pointer: '/roles', text: 'must contain "entry": every host takes callers and announcements'});
+		errors.push({pointer: '/roles', text: 'must contain "entry": every host takes callers and announcements'});
 	}
 
 	if (isControl && settings.dataFolder === undefined) {
-		faults.push({pointer: '/dataFolder', text: 'is required with the role "control"'});
+		errors.push({pointer: '/dataFolder', text: 'is required with the role "control"'});
 	}
 
 	if (settings.control === undefined) {
-		faults.push({pointer: '/control', text: 'is required: the control hosts to start from'});
+		errors.push({pointer: '/control', text: 'is required: the control hosts to start from'});
 	}
 
-	faults.push(...findRepeated('/control', settings.control ?? []), ...findRepeated('/peers', settings.peers ?? []));
+	errors.push(...findRepeated('/control', settings.control ?? []), ...findRepeated('/peers', settings.peers ?? []));
 	if (settings.http.port !== 0 && settings.http.port === settings.peer.port && settings.http.address === settings.peer.address) {
-		faults.push({pointer: '/peer/port', text: 'must differ from /http/port'});
+		errors.push({pointer: '/peer/port', text: 'must differ from /http/port'});
 	}
 
-	return faults;
+	return errors;
 }
 
-function findRepeated(pointer: string, peers: ReadonlyArray<{readonly host: string}>): Fault[] {
-	const faults: Fault[] = [];
+function findRepeated(pointer: string, peers: ReadonlyArray<{readonly host: string}>): ValidationError[] {
+	const errors: ValidationError[] = [];
 	const seen = new Set<string>();
 	for (const [index, {host}] of peers.entries()) {
 		if (seen.has(host)) {
-			faults.push({pointer: `${pointer}/${index}/host`, text: `names ${JSON.stringify(host)} a second time`});
+			errors.push({pointer: `${pointer}/${index}/host`, text: `names ${JSON.stringify(host)} a second time`});
 		}
 
 		seen.add(host);
 	}
 
-	return faults;
+	return errors;
 }
--- a/src/entry/exchange.ts
+++ b/src/entry/exchange.ts
@@ -125,7 +125,7 @@
 export function sendProblem(exchange: Exchange, problem: Problem): void {
 	const headers: Record<string, string> = {
 		'carawayhoist-code': String(problem.code),
-		'carawayhoist-outcome': problem.verdict,
+		'carawayhoist-outcome': problem.outcome,
 	};
 	if (problem.retryAfterSeconds !== undefined) {
 		headers['retry-after'] = String(problem.retryAfterSeconds);
@@ -158,7 +158,7 @@
 			param: null,
 			code: problem.code,
 			name: problem.name,
-			outcome: problem.verdict,
+			outcome: problem.outcome,
 		},
 	};
 }
--- a/src/entry/model.ts
+++ b/src/entry/model.ts
@@ -6,7 +6,7 @@
 import type {Buffer} from 'node:buffer';
 import net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
-import {pause, type Clock} from '../base/clock.js';
+import {sleep, type Clock} from '../base/clock.js';
 import type {Logger} from '../base/logger.js';
 import {createProblem, type Problem} from '../base/problem.js';
 import {shuffle, type Random} from '../base/random.js';
@@ -325,7 +325,7 @@
 				return last;
 			}
 
-			await pause(step.pauseMs);
+			await sleep(step.pauseMs);
 		}
 
 		return clock.monotonicMs() >= this.#deadlineMs ? createProblem('deadlineExceeded') : last;
@@ -640,7 +640,7 @@
 
 	/** A second look at an engine that seemed to be alive after its connection broke. */
 	async #lookAgain(server: Announcement): Promise<void> {
-		await pause(SECOND_LOOK_MS);
+		await sleep(SECOND_LOOK_MS);
 		const current = this.#handler.options.fleet.findServer(server.server) ?? server;
 		if (current.incarnation !== server.incarnation || !(await probe(server))) {
 			this.#note(`Engine ${server.server} has died since its connection broke.`);
--- a/src/entry/operator.ts
+++ b/src/entry/operator.ts
@@ -10,7 +10,7 @@
 import {request as httpRequest} from 'undici';
 import type {Clock} from '../base/clock.js';
 import {createProblem, findProblemName, type Problem} from '../base/problem.js';
-import {formatFaults, validate} from '../base/validate.js';
+import {formatValidationErrors, validate} from '../base/validate.js';
 import type {ControlClient} from '../control/client.js';
 import type {
 	Members, Peer, Proposed, Resource, ViewUpdate,
@@ -144,7 +144,7 @@
 		const {seen = -1, specification} = parsed.right;
 		const checked = validate('Specification', specification);
 		if (Either.isLeft(checked)) {
-			sendProblem(exchange, createProblem('resourceInvalid', formatFaults(checked.left)));
+			sendProblem(exchange, createProblem('resourceInvalid', formatValidationErrors(checked.left)));
 			return;
 		}
 
@@ -238,7 +238,7 @@
 
 			const checked = validate('Message', {...parsed.right, type: 'members', id: 0});
 			if (Either.isLeft(checked)) {
-				sendProblem(exchange, createProblem('badRequest', formatFaults(checked.left)));
+				sendProblem(exchange, createProblem('badRequest', formatValidationErrors(checked.left)));
 				return;
 			}
 
@@ -325,9 +325,9 @@
 		const problem = {...createProblem(findProblemName(outcome.code)), text: outcome.text};
 		sendJson(exchange, problem.status, {
 			error: {
-				message: outcome.text, code: outcome.code, name: problem.name, outcome: problem.verdict, version: outcome.version,
+				message: outcome.text, code: outcome.code, name: problem.name, outcome: problem.outcome, version: outcome.version,
 			},
-		}, {'carawayhoist-code': String(outcome.code), 'carawayhoist-outcome': problem.verdict});
+		}, {'carawayhoist-code': String(outcome.code), 'carawayhoist-outcome': problem.outcome});
 		return;
 	}
 
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -10,7 +10,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import type {Logger} from '../base/logger.js';
 import {createProblem, type Problem} from '../base/problem.js';
-import {formatFaults, validate} from '../base/validate.js';
+import {formatValidationErrors, validate} from '../base/validate.js';
 import type {Announcement, Endpoint} from '../generated/types.js';
 import {
 	createErrorBody, parseJson, readBody, readHeader, sendJson, sendProblem, type BodyLimits, type Exchange,
@@ -225,7 +225,7 @@
 
 		const checked = validate('Announcement', parsed.right);
 		if (Either.isLeft(checked)) {
-			sendProblem(exchange, createProblem('badRequest', formatFaults(checked.left)));
+			sendProblem(exchange, createProblem('badRequest', formatValidationErrors(checked.left)));
 			return;
 		}
 
@@ -257,7 +257,7 @@
 		'connection: close',
 		'content-type: application/json',
 		`carawayhoist-code: ${problem.code}`,
-		`carawayhoist-outcome: ${problem.verdict}`,
+		`carawayhoist-outcome: ${problem.outcome}`,
 		`content-length: ${Buffer.byteLength(body)}`,
 	];
 	socket.end(`${head.join('\r\n')}\r\n\r\n${body}`);
--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -7,7 +7,7 @@
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 import * as Either from 'fp-ts/lib/Either.js';
-import {pause, type Clock} from '../base/clock.js';
+import {sleep, type Clock} from '../base/clock.js';
 import type {Logger} from '../base/logger.js';
 import {createProblem, type Problem} from '../base/problem.js';
 import {pick, type Random} from '../base/random.js';
@@ -100,7 +100,7 @@
 		const outcome = Either.isRight(result) ? 'done' : result.left.name;
 		metrics.requests.inc({kind, outcome});
 		if (Either.isLeft(result)) {
-			journal.end(exchange.id, `Refused with code ${result.left.code} (${result.left.verdict}): ${result.left.text}`, clock.wallMs());
+			journal.end(exchange.id, `Refused with code ${result.left.code} (${result.left.outcome}): ${result.left.text}`, clock.wallMs());
 			sendProblem(exchange, result.left);
 			return;
 		}
@@ -182,7 +182,7 @@
 			}
 
 			this.#note(call, `The same key is in flight through host ${claim.right.host}; this call waits for that answer.`);
-			await pause(pollMs);
+			await sleep(pollMs);
 			pollMs = Math.min(LONGEST_POLL_MS, pollMs * 2);
 		}
 	}
--- a/src/serving/caller.ts
+++ b/src/serving/caller.ts
@@ -166,7 +166,7 @@
 			'content-type': 'application/json',
 			'content-length': body.length,
 			'carawayhoist-code': problem.code,
-			'carawayhoist-outcome': problem.verdict,
+			'carawayhoist-outcome': problem.outcome,
 		});
 		this.#response.end(body);
 		this.#finish(ENDS.refused);
--- a/src/tool/carawayhoist.ts
+++ b/src/tool/carawayhoist.ts
@@ -14,8 +14,8 @@
 import type {
 	Announcement, Change, Configuration, Peer, Progress, Resource, Specification, ViewUpdate,
 } from '../generated/types.js';
-import {Api} from './client.js';
-import {formatStory, type Story} from './story.js';
+import {ApiClient} from './client.js';
+import {formatExplanation, type Explanation} from './explanation.js';
 import {formatTable} from './table.js';
 
 const EXIT_FAILED = 1;
@@ -87,7 +87,7 @@
 	}
 
 	const hosts = values.host ?? [process.env.CARAWAYHOIST_HOST ?? DEFAULT_HOST];
-	const api = new Api({hosts, key: values.key ?? process.env.CARAWAYHOIST_KEY});
+	const api = new ApiClient({hosts, key: values.key ?? process.env.CARAWAYHOIST_KEY});
 	const problem = await run(api, positionals, {
 		json: values.output === 'json',
 		wait: values.wait ?? false,
@@ -121,7 +121,7 @@
 	}), error => createProblem('usage', error instanceof Error ? error.message : String(error)));
 }
 
-async function run(api: Api, positionals: readonly string[], options: Options): Promise<Problem | undefined> {
+async function run(api: ApiClient, positionals: readonly string[], options: Options): Promise<Problem | undefined> {
 	const [command = '', ...rest] = positionals;
 	switch (command) {
 		case 'get': {
@@ -166,20 +166,20 @@
 	}
 }
 
-async function get(api: Api, [kind, name]: readonly string[], options: Options): Promise<Problem | undefined> {
+async function get(api: ApiClient, [kind, name]: readonly string[], options: Options): Promise<Problem | undefined> {
 	const path = ['resources', kind, name].filter(part => part !== undefined).join('/');
 	if (name !== undefined) {
-		const resource = await api.call<Resource>({method: 'GET', path});
+		const resource = await api.request<Resource>({method: 'GET', path});
 		return print(resource, options, found => `${JSON.stringify(found, undefined, 2)}\n`);
 	}
 
-	const listing = await api.call<Listing>({method: 'GET', path});
+	const listing = await api.request<Listing>({method: 'GET', path});
 	return print(listing, options, ({resources}) => formatTable(['KIND', 'NAME', 'VERSION', 'STATE'], resources.map(resource => [
 		resource.specification.kind, resource.name, String(resource.version), resource.status?.phase ?? describeSpecification(resource.specification),
 	])));
 }
 
-async function apply(api: Api, options: Options): Promise<Problem | undefined> {
+async function apply(api: ApiClient, options: Options): Promise<Problem | undefined> {
 	if (options.file === undefined) {
 		return createProblem('usage', 'Name a file with -f.');
 	}
@@ -190,7 +190,7 @@
 	}
 
 	for (const {name, seen, specification} of documents.right) {
-		const answer = await api.call<{version: number}>({
+		const answer = await api.request<{version: number}>({
 			method: 'PUT', path: `resources/${specification.kind}/${encodeURIComponent(name)}`, body: {seen: seen ?? options.seen, specification}, requestId: randomUUID(),
 		});
 		const problem = print(answer, options, ({version}) => `${specification.kind} ${name} has version ${version}.\n`);
@@ -215,19 +215,19 @@
 	}
 }
 
-async function remove(api: Api, [kind, name]: readonly string[], options: Options): Promise<Problem | undefined> {
+async function remove(api: ApiClient, [kind, name]: readonly string[], options: Options): Promise<Problem | undefined> {
 	if (kind === undefined || name === undefined) {
 		return createProblem('usage', 'Name a kind and a resource.');
 	}
 
-	const answer = await api.call<{version: number}>({
+	const answer = await api.request<{version: number}>({
 		method: 'DELETE', path: `resources/${kind}/${encodeURIComponent(name)}?seen=${options.seen}`, requestId: randomUUID(),
 	});
 	return print(answer, options, ({version}) => `${kind} ${name} is deleted at version ${version}.\n`);
 }
 
-async function watch(api: Api, options: Options): Promise<Problem | undefined> {
-	const isAnswered = await api.follow(`watch?from=${options.from}`, line => {
+async function watch(api: ApiClient, options: Options): Promise<Problem | undefined> {
+	const isAnswered = await api.streamLines(`watch?from=${options.from}`, line => {
 		process.stdout.write(options.json ? `${line}\n` : describeUpdate(JSON.parse(line) as ViewUpdate));
 	});
 	return isAnswered ? undefined : createProblem('noServer', 'No entry host answers.');
@@ -247,8 +247,8 @@
 	readonly hosts: ReadonlyArray<{peer: Peer; dataCentre: string; leaving: boolean}>;
 };
 
-async function status(api: Api, options: Options): Promise<Problem | undefined> {
-	const answer = await api.call<Status>({method: 'GET', path: 'status'});
+async function status(api: ApiClient, options: Options): Promise<Problem | undefined> {
+	const answer = await api.request<Status>({method: 'GET', path: 'status'});
 	return print(answer, options, ({host, version, servers, hosts}) => [
 		`Host ${host} has configuration ${version} in force.\n\n`,
 		formatTable(['SERVER', 'KIND', 'ROLE', 'SERVES', 'RUNNING', 'WAITING', 'STATE'], servers.map(server => [
@@ -267,14 +267,14 @@
 	].join(''));
 }
 
-async function change(api: Api, action: Change['action'], {rest, options}: {rest: readonly string[]; options: Options}): Promise<Problem | undefined> {
+async function change(api: ApiClient, action: Change['action'], {rest, options}: {rest: readonly string[]; options: Options}): Promise<Problem | undefined> {
 	const specification = createChange(action, rest);
 	if (Either.isLeft(specification)) {
 		return specification.left;
 	}
 
 	const name = options.name ?? `${action}-${specification.right.server}-${randomUUID().slice(0, 8)}`;
-	const answer = await api.call<{version: number}>({
+	const answer = await api.request<{version: number}>({
 		method: 'PUT', path: `resources/change/${encodeURIComponent(name)}`, body: {seen: 0, specification: specification.right}, requestId: randomUUID(),
 	});
 	const problem = print(answer, options, ({version}) => `Change ${name} is declared at version ${version}.\n`);
@@ -317,10 +317,10 @@
 	}
 }
 
-async function waitFor(api: Api, name: string, options: Options): Promise<Problem | undefined> {
+async function waitFor(api: ApiClient, name: string, options: Options): Promise<Problem | undefined> {
 	let told = 0;
 	for (;;) {
-		const resource = await api.call<Resource>({method: 'GET', path: `resources/change/${encodeURIComponent(name)}`});
+		const resource = await api.request<Resource>({method: 'GET', path: `resources/change/${encodeURIComponent(name)}`});
 		if (Either.isLeft(resource) && resource.left.name !== 'noQuorum') {
 			return resource.left;
 		}
@@ -346,13 +346,13 @@
 	}
 }
 
-async function explain(api: Api, [subject]: readonly string[], options: Options): Promise<Problem | undefined> {
+async function explain(api: ApiClient, [subject]: readonly string[], options: Options): Promise<Problem | undefined> {
 	if (subject === undefined) {
 		return createProblem('usage', 'Name a request or a change.');
 	}
 
-	const story = await api.call<Story>({method: 'GET', path: `explain/${encodeURIComponent(subject)}`});
-	return print(story, options, formatStory);
+	const story = await api.request<Explanation>({method: 'GET', path: `explain/${encodeURIComponent(subject)}`});
+	return print(story, options, formatExplanation);
 }
 
 type MembersAnswer = {
@@ -364,7 +364,7 @@
 	readonly progress: readonly Progress[];
 };
 
-async function control(api: Api, [action, ...rest]: readonly string[], options: Options): Promise<Problem | undefined> {
+async function control(api: ApiClient, [action, ...rest]: readonly string[], options: Options): Promise<Problem | undefined> {
 	const body = createMembersCall(action, rest);
 	if (Either.isLeft(body)) {
 		return body.left;
@@ -373,7 +373,7 @@
 	const call = body.right === undefined
 		? {method: 'GET', path: 'members'} as const
 		: {method: 'POST', path: 'members', body: body.right} as const;
-	const answer = await api.call<MembersAnswer>(call);
+	const answer = await api.request<MembersAnswer>(call);
 	return print(answer, options, describeMembers);
 }
 
--- a/src/tool/client.ts
+++ b/src/tool/client.ts
@@ -7,13 +7,13 @@
 import {Agent, request} from 'undici';
 import {createProblem, findProblemName, type Problem} from '../base/problem.js';
 
-export type ApiOptions = {
+export type ApiClientOptions = {
 	/** Addresses of entry hosts, such as `http://10.0.0.4:8080`; the next is asked when one does not answer. */
 	readonly hosts: readonly string[];
 	readonly key?: string;
 };
 
-export type Call = {
+export type ApiRequest = {
 	readonly method: 'GET' | 'PUT' | 'POST' | 'DELETE';
 	readonly path: string;
 	readonly body?: unknown;
@@ -24,11 +24,11 @@
 const TIMEOUT_MS = 8000;
 
 /** Calls the operators' API through any entry host. Whoever created it closes it. */
-export class Api {
-	readonly #options: ApiOptions;
+export class ApiClient {
+	readonly #options: ApiClientOptions;
 	readonly #agent = new Agent({headersTimeout: TIMEOUT_MS, bodyTimeout: 0, connect: {timeout: 2000}});
 
-	constructor(options: ApiOptions) {
+	constructor(options: ApiClientOptions) {
 		this.#options = options;
 	}
 
@@ -40,7 +40,7 @@
 	 * const answer = await api.call<{version: number}>({method: 'GET', path: 'resources'});
 	 * ```
 	 */
-	async call<Answer>(call: Call): Promise<Either.Either<Problem, Answer>> {
+	async request<Answer>(call: ApiRequest): Promise<Either.Either<Problem, Answer>> {
 		let last = createProblem('noServer', 'No entry host answers.');
 		for (const host of this.#options.hosts) {
 			const answer = await this.#callHost<Answer>(host, call);
@@ -55,7 +55,7 @@
 	}
 
 	/** Calls and hands each line of the answer on until it ends; false if no host answered. */
-	async follow(path: string, onLine: (line: string) => void): Promise<boolean> {
+	async streamLines(path: string, onLine: (line: string) => void): Promise<boolean> {
 		for (const host of this.#options.hosts) {
 			try {
 				const {body} = await request(`${host}/api/v1/${path}`, {dispatcher: this.#agent, headers: this.#headers()});
@@ -81,7 +81,7 @@
 		await this.#agent.destroy();
 	}
 
-	async #callHost<Answer>(host: string, call: Call): Promise<Either.Either<Problem, Answer> | undefined> {
+	async #callHost<Answer>(host: string, call: ApiRequest): Promise<Either.Either<Problem, Answer> | undefined> {
 		try {
 			const {statusCode, body} = await request(`${host}/api/v1/${call.path}`, {
 				dispatcher: this.#agent,
--- a/src/tool/story.ts
+++ b/src/tool/explanation.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-export type Story = {
+export type Explanation = {
 	readonly subject: string;
 	readonly title: string;
 	readonly outcome: string;
@@ -20,7 +20,7 @@
  * formatStory({subject: 'r1', title: 'A request', outcome: 'done', startedAt: 0, steps: [{at: 40, text: 'Sent.'}]});
  * ```
  */
-export function formatStory(story: Story): string {
+export function formatExplanation(story: Explanation): string {
 	const lines = [`${story.title} (${story.subject})`, `It began on ${new Date(story.startedAt).toISOString()}.`];
 	for (const {at, text} of story.steps) {
 		lines.push(`  after ${formatDuration(at - story.startedAt)}: ${text}`);
--- a/src/wire/connection.ts
+++ b/src/wire/connection.ts
@@ -7,7 +7,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import type {Message} from '../generated/types.js';
 import {createProblem, type Problem} from '../base/problem.js';
-import {encodeFrame, FrameReader} from './frame.js';
+import {encodeFrame, FrameDecoder} from './frame.js';
 
 export type Address = {
 	readonly address: string;
@@ -26,10 +26,10 @@
 
 	constructor(socket: net.Socket, onMessage: MessageHandler) {
 		this.#socket = socket;
-		const reader = new FrameReader();
+		const reader = new FrameDecoder();
 		socket.setNoDelay(true);
 		socket.on('data', bytes => {
-			const messages = reader.add(bytes);
+			const messages = reader.push(bytes);
 			if (Either.isLeft(messages)) {
 				socket.destroy();
 				return;
--- a/src/wire/frame.ts
+++ b/src/wire/frame.ts
@@ -6,11 +6,11 @@
 import {Buffer} from 'node:buffer';
 import {Encoder} from 'cbor-x';
 import * as Either from 'fp-ts/lib/Either.js';
-import {validate, formatFaults} from '../base/validate.js';
+import {validate, formatValidationErrors} from '../base/validate.js';
 import {createProblem, type Problem} from '../base/problem.js';
 import type {Message} from '../generated/types.js';
 
-export const LENGTH_BYTES = 4;
+export const LENGTH_PREFIX_BYTES = 4;
 export const MAX_FRAME_BYTES = 256 * 1024 * 1024;
 
 const codec = new Encoder({useRecords: false, tagUint8Array: false});
@@ -23,7 +23,7 @@
  * decodeValue(encodeValue({a: 1})); // {a: 1}
  * ```
  */
-export function encodeValue(value: unknown): Uint8Array {
+export function encodeCbor(value: unknown): Uint8Array {
 	return codec.encode(value);
 }
 
@@ -35,7 +35,7 @@
  * decodeValue(encodeValue([1, 2])); // [1, 2]
  * ```
  */
-export function decodeValue(bytes: Uint8Array): unknown {
+export function decodeCbor(bytes: Uint8Array): unknown {
 	return codec.decode(bytes);
 }
 
@@ -49,14 +49,14 @@
  */
 export function encodeFrame(message: Message): Uint8Array {
 	const body = codec.encode(message);
-	const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
+	const frame = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES + body.length);
 	frame.writeUInt32BE(body.length, 0);
-	frame.set(body, LENGTH_BYTES);
+	frame.set(body, LENGTH_PREFIX_BYTES);
 	return frame;
 }
 
 /** Collects bytes into messages. */
-export class FrameReader {
+export class FrameDecoder {
 	#chunks: Uint8Array[] = [];
 	#length = 0;
 
@@ -69,7 +69,7 @@
 	 * reader.add(encodeFrame({type: 'hello', id: 1})); // Either.right([{type: 'hello', id: 1}])
 	 * ```
 	 */
-	add(bytes: Uint8Array): Either.Either<Problem, Message[]> {
+	push(bytes: Uint8Array): Either.Either<Problem, Message[]> {
 		this.#chunks.push(bytes);
 		this.#length += bytes.length;
 		const messages: Message[] = [];
@@ -83,11 +83,11 @@
 				return Either.left(createProblem('badRequest', `Frame of ${size} bytes.`));
 			}
 
-			if (this.#length < size + LENGTH_BYTES) {
+			if (this.#length < size + LENGTH_PREFIX_BYTES) {
 				return Either.right(messages);
 			}
 
-			const message = parseMessage(this.#take(size + LENGTH_BYTES).subarray(LENGTH_BYTES));
+			const message = parseMessage(this.#take(size + LENGTH_PREFIX_BYTES).subarray(LENGTH_PREFIX_BYTES));
 			if (Either.isLeft(message)) {
 				return message;
 			}
@@ -97,16 +97,16 @@
 	}
 
 	#frameSize(): number | undefined {
-		if (this.#length < LENGTH_BYTES) {
+		if (this.#length < LENGTH_PREFIX_BYTES) {
 			return undefined;
 		}
 
-		if (this.#chunks[0]!.length < LENGTH_BYTES) {
+		if (this.#chunks[0]!.length < LENGTH_PREFIX_BYTES) {
 			this.#chunks = [Buffer.concat(this.#chunks)];
 		}
 
 		const head = this.#chunks[0]!;
-		return new DataView(head.buffer, head.byteOffset, LENGTH_BYTES).getUint32(0);
+		return new DataView(head.buffer, head.byteOffset, LENGTH_PREFIX_BYTES).getUint32(0);
 	}
 
 	#take(size: number): Uint8Array {
@@ -119,11 +119,11 @@
 }
 
 function parseMessage(bytes: Uint8Array): Either.Either<Problem, Message> {
-	const decoded = Either.tryCatch(() => decodeValue(bytes), () => createProblem('badRequest', 'Not CBOR.'));
+	const decoded = Either.tryCatch(() => decodeCbor(bytes), () => createProblem('badRequest', 'Not CBOR.'));
 	if (Either.isLeft(decoded)) {
 		return decoded;
 	}
 
 	const checked = validate('Message', decoded.right);
-	return Either.isLeft(checked) ? Either.left(createProblem('badRequest', formatFaults(checked.left))) : checked;
+	return Either.isLeft(checked) ? Either.left(createProblem('badRequest', formatValidationErrors(checked.left))) : checked;
 }
--- a/test/catalogue.test.ts
+++ b/test/catalogue.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as Either from 'fp-ts/lib/Either.js';
-import {decodeCatalogue} from '../platform/catalogue.js';
+import {decodeRoutingConfig} from '../platform/routes.js';
 import {createRandom} from '../src/base/random.js';
 import {chooseService, RuleTable} from '../src/routing/catalogue.js';
 
@@ -43,10 +43,10 @@
 		'unknown kind': write({routes: [{...ROUTE, type: 'other'}]}),
 	};
 	for (const [name, text] of Object.entries(faults)) {
-		assert.ok(Either.isLeft(decodeCatalogue(text)), name);
+		assert.ok(Either.isLeft(decodeRoutingConfig(text)), name);
 	}
 
-	assert.ok(Either.isRight(decodeCatalogue(write({}))));
+	assert.ok(Either.isRight(decodeRoutingConfig(write({}))));
 });
 
 function write(fields: Record<string, unknown>): string {
@@ -56,7 +56,7 @@
 }
 
 function createTable(routes: unknown[], services: unknown[] = [SERVICE]): RuleTable {
-	const catalogue = decodeCatalogue(JSON.stringify({version: 1, routes, services}));
+	const catalogue = decodeRoutingConfig(JSON.stringify({version: 1, routes, services}));
 	assert.ok(Either.isRight(catalogue));
 	return new RuleTable(catalogue.right);
 }
--- a/test/completion.test.ts
+++ b/test/completion.test.ts
@@ -2,7 +2,7 @@
 import net from 'node:net';
 import {after, before, test} from 'node:test';
 import OpenAI from 'openai';
-import {ANSWER_TOKENS, expectedAnswer} from '../fakes/answer.js';
+import {DEFAULT_COMPLETION_TOKENS, generateCompletion} from '../fakes/completion.js';
 import {FakeEngine} from '../fakes/engine.js';
 import {startFixture, type Fixture} from './fixture.js';
 
@@ -16,7 +16,7 @@
 		},
 	});
 	await fixture.add(entries => new FakeEngine({
-		name: 'e1', entries, announceEveryMs: 50, stepMs: 1,
+		name: 'e1', entries, announceIntervalMs: 50, stepMs: 1,
 	}));
 	client = new OpenAI({apiKey: 'unused', baseURL: `${fixture.url}/v1`, maxRetries: 0});
 });
@@ -28,9 +28,9 @@
 test('the openai client gets a chat answer whole, with usage', async () => {
 	const answer = await client.chat.completions.create({model: 'summary-1', messages: [{role: 'user', content: 'Hello'}]});
 	assert.equal(answer.object, 'chat.completion');
-	assert.equal(answer.choices[0]?.message.content, expectedAnswer('user: Hello', ANSWER_TOKENS['summary-1']!));
+	assert.equal(answer.choices[0]?.message.content, generateCompletion('user: Hello', DEFAULT_COMPLETION_TOKENS['summary-1']!));
 	assert.equal(answer.choices[0]?.finish_reason, 'length');
-	assert.equal(answer.usage?.completion_tokens, ANSWER_TOKENS['summary-1']);
+	assert.equal(answer.usage?.completion_tokens, DEFAULT_COMPLETION_TOKENS['summary-1']);
 });
 
 test('the openai client gets a chat answer as a stream, with usage when asked', async () => {
@@ -45,13 +45,13 @@
 		usage = chunk.usage ?? usage;
 	}
 
-	assert.equal(text, expectedAnswer('user: Compare', ANSWER_TOKENS['chat-1']!));
+	assert.equal(text, generateCompletion('user: Compare', DEFAULT_COMPLETION_TOKENS['chat-1']!));
 	assert.deepEqual(usage, {prompt_tokens: 4, completion_tokens: 120, total_tokens: 124});
 });
 
 test('the openai client gets text completions, plain and streamed', async () => {
 	const answer = await client.completions.create({model: 'summary-1', prompt: 'Once', max_tokens: 5});
-	assert.equal(answer.choices[0]?.text, expectedAnswer('Once', 5));
+	assert.equal(answer.choices[0]?.text, generateCompletion('Once', 5));
 	let text = '';
 	for await (const chunk of await client.completions.create({
 		model: 'summary-1', prompt: 'Once', max_tokens: 5, stream: true,
@@ -59,7 +59,7 @@
 		text += chunk.choices[0]?.text ?? '';
 	}
 
-	assert.equal(text, expectedAnswer('Once', 5));
+	assert.equal(text, generateCompletion('Once', 5));
 });
 
 test('the openai client lists models', async () => {
@@ -109,12 +109,12 @@
 	assert.match(await slow, /^HTTP\/1\.1 408 [\s\S]*"code":2003/v);
 	assert.match(await noise, /^HTTP\/1\.1 400 [\s\S]*"code":2001/v);
 	assert.match(await long, /^HTTP\/1\.1 431 [\s\S]*"code":2006/v);
-	assert.equal((await answer).choices[0]?.message.content, expectedAnswer('user: beside', 24));
+	assert.equal((await answer).choices[0]?.message.content, generateCompletion('user: beside', 24));
 });
 
 test('a caller that goes away cancels the work at the engine', async () => {
 	const engine = await fixture.add(entries => new FakeEngine({
-		name: 'slow', entries, announceEveryMs: 50, stepMs: 50, models: ['slow-1'],
+		name: 'slow', entries, announceIntervalMs: 50, stepMs: 50, models: ['slow-1'],
 	}));
 	const abort = new AbortController();
 	const response = await fetch(`${fixture.url}/v1/chat/completions`, {
--- a/test/fixture.ts
+++ b/test/fixture.ts
@@ -8,7 +8,7 @@
 import path from 'node:path';
 import * as Either from 'fp-ts/lib/Either.js';
 import {findPort, waitUntil} from '../dev/fleet.js';
-import type {Backend} from '../fakes/backend.js';
+import type {FakeBackend} from '../fakes/backend.js';
 import {createSilentLoggers} from '../src/base/logger.js';
 import {Host} from '../src/daemon/host.js';
 import type {Settings, Specification} from '../src/generated/types.js';
@@ -19,7 +19,7 @@
 	readonly settings: Settings;
 	put(kind: string, name: string, specification: Specification): Promise<Response>;
 	/** Starts a backend server and waits until the host uses it. */
-	add<Server extends Backend>(create: (entries: readonly string[]) => Server): Promise<Server>;
+	add<Server extends FakeBackend>(create: (entries: readonly string[]) => Server): Promise<Server>;
 	stop(): Promise<void>;
 };
 
@@ -45,7 +45,7 @@
 	}
 
 	const url = `http://127.0.0.1:${started.right.httpPort}`;
-	const backends: Backend[] = [];
+	const backends: FakeBackend[] = [];
 	await waitUntil(async () => (await fetch(`${url}/readyz`)).status === 200, 'ready');
 	return {
 		url,
--- a/test/handoff.test.ts
+++ b/test/handoff.test.ts
@@ -12,7 +12,7 @@
 before(async () => {
 	fixture = await startFixture();
 	const add = async (name: string, role: 'prefill' | 'decode') => fixture.add(entries => new FakeEngine({
-		name, entries, role, announceEveryMs: 50, stepMs: 2, awayMs: 50,
+		name, entries, role, announceIntervalMs: 50, stepMs: 2, orderDurationMs: 50,
 	}));
 	prefill = await add('p1', 'prefill');
 	decode = await add('d1', 'decode');
@@ -63,7 +63,7 @@
 
 test('with automatic roles the leader changes an engine\'s role when the mix has shifted, and says why', async () => {
 	await fixture.add(entries => new FakeEngine({
-		name: 'd2', entries, role: 'decode', announceEveryMs: 50, stepMs: 2, awayMs: 50,
+		name: 'd2', entries, role: 'decode', announceIntervalMs: 50, stepMs: 2, orderDurationMs: 50,
 	}));
 	await fixture.put('policy', 'roles', {
 		kind: 'policy', profile: 'tallgrass', automaticRoles: true, changeWeight: 0,
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -16,11 +16,11 @@
 		holder.engine = await fixture.add(entries => new FakeEngine({
 			name,
 			entries,
-			announceEveryMs: 50,
+			announceIntervalMs: 50,
 			models: ['chat-1'],
-			onPoison() {
+			onCrash() {
 				crashed.add(name);
-				holder.engine!.breakConnections();
+				holder.engine!.closeConnections();
 				setTimeout(() => {
 					holder.engine!.stop();
 				}, LISTENS_ON_MS);
@@ -39,7 +39,7 @@
 	const engines: FakeEngine[] = [];
 	for (const name of ['mortal-1', 'mortal-2', 'mortal-3']) {
 		engines.push(await fixture.add(entries => new FakeEngine({
-			name, entries, announceEveryMs: 50, models: ['chat-1'],
+			name, entries, announceIntervalMs: 50, models: ['chat-1'],
 		})));
 	}
 
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -10,9 +10,9 @@
 import {Registry} from 'prom-client';
 import {request} from 'undici';
 import {findPort, waitUntil} from '../dev/fleet.js';
-import {PlatformDialect} from '../platform/dialect.js';
-import {createControlApi, serve} from '../platform/endpoints.js';
-import {PlatformOrders} from '../platform/orders.js';
+import {PlatformProtocol} from '../platform/protocol.js';
+import {createControlHandler, startHttpServer} from '../platform/endpoints.js';
+import {PlatformOrderTransport} from '../platform/orders.js';
 import {createClock} from '../src/base/clock.js';
 import {createSilentLoggers} from '../src/base/logger.js';
 import {createRandom} from '../src/base/random.js';
@@ -280,7 +280,7 @@
 	const folder = await mkdtemp(path.join(os.tmpdir(), 'site-'));
 	const clock = createClock();
 	const loggers = createSilentLoggers();
-	const dialect = new PlatformDialect();
+	const dialect = new PlatformProtocol();
 	const metrics = createServingMetrics(new Registry());
 	const controlRegistry = new Registry();
 	const peer = {address: '127.0.0.1', port: await findPort()};
@@ -289,22 +289,22 @@
 	const control = unwrap(await ControlHost.start({
 		host: 'c1',
 		dataCentre: 'a',
-		peer,
-		folder,
+		peerAddress: peer,
+		dataFolder: folder,
 		seeds: [peer],
 		firstStart: true,
 		clock,
 		random: createRandom(1),
 		loggers,
 		metrics: createControlMetrics(controlRegistry),
-		dialect,
-		createOrders: findServer => new PlatformOrders('c1', clock, findServer),
+		protocol: dialect,
+		createOrderTransport: findServer => new PlatformOrderTransport('c1', clock, findServer),
 		leaseMs: 500,
-		announceMs: 400,
+		announceIntervalMs: 400,
 	}));
-	const api = unwrap(await serve(operators, createControlApi(control)));
+	const api = unwrap(await startHttpServer(operators, createControlHandler(control)));
 	const entry = unwrap(await EntryHost.start({
-		host: 'h1', dataCentre: 'a', callers, seeds: [peer], clock, random: createRandom(2), loggers, dialect, metrics, budget: {ratio: 0.2, allowance: 100, windowMs: 10_000}, graceMs: 1000,
+		host: 'h1', dataCentre: 'a', callerAddress: callers, seeds: [peer], clock, random: createRandom(2), loggers, protocol: dialect, metrics, retryBudget: {ratio: 0.2, allowance: 100, windowMs: 10_000}, graceMs: 1000,
 	}));
 	const servers = options.map(option => new Standin(option));
 	t.after(async () => {
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -9,7 +9,7 @@
 import {test} from 'node:test';
 import {promisify} from 'node:util';
 import * as Either from 'fp-ts/lib/Either.js';
-import {checkSettings, readSettings} from '../src/daemon/settings.js';
+import {validateSettings, readSettings} from '../src/daemon/settings.js';
 
 const ROOT = path.resolve(import.meta.dirname, '../..');
 const DAEMON = path.join(ROOT, 'dist/src/daemon/carawayhoistd.js');
@@ -50,17 +50,17 @@
 ];
 
 test('right settings are taken', () => {
-	assert.ok(Either.isRight(checkSettings(structuredClone(RIGHT))));
+	assert.ok(Either.isRight(validateSettings(structuredClone(RIGHT))));
 });
 
 for (const [title, value, pointer, text] of WRONG) {
 	test(`wrong settings are named by their pointer: ${title}`, () => {
 		// What is undefined must be gone, as in a file.
-		const checked = checkSettings(JSON.parse(JSON.stringify(value))); // eslint-disable-line unicorn/prefer-structured-clone
+		const checked = validateSettings(JSON.parse(JSON.stringify(value))); // eslint-disable-line unicorn/prefer-structured-clone
 		assert.ok(Either.isLeft(checked));
 		assert.equal(checked.left.problem.code, 1002);
-		const fault = checked.left.faults.find(one => one.pointer === pointer && one.text.includes(text));
-		assert.ok(fault, JSON.stringify(checked.left.faults));
+		const fault = checked.left.errors.find(one => one.pointer === pointer && one.text.includes(text));
+		assert.ok(fault, JSON.stringify(checked.left.errors));
 	});
 }
 
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -5,8 +5,8 @@
 import {streamCompletion} from '../dev/calls.js';
 import {findPort} from '../dev/fleet.js';
 import {FakeEngine} from '../fakes/engine.js';
-import {answerToken} from '../fakes/answer.js';
-import {replyJson} from '../fakes/backend.js';
+import {generateToken} from '../fakes/completion.js';
+import {sendJson} from '../fakes/backend.js';
 import {startFixture, type Fixture} from './fixture.js';
 
 let fixture: Fixture;
@@ -75,7 +75,7 @@
 	});
 	const engine = await fixture.add(entries => {
 		holder.engine = new FakeEngine({
-			name: 'behind', entries, announceEveryMs: 50, stepMs: 5, models: ['chat-1'], announcedPort: middle.port,
+			name: 'behind', entries, announceIntervalMs: 50, stepMs: 5, models: ['chat-1'], announcedPort: middle.port,
 		});
 		return holder.engine;
 	});
@@ -97,7 +97,7 @@
 	const faults: Fault[] = [
 		(_id, offset) => ({id: 'somebody-else', offset, choices: [{delta: {content: 'WRONG '}}]}),
 		(id, offset) => ({id, offset: offset + 1, choices: [{delta: {content: 'WRONG '}}]}),
-		(id, offset, prompt) => ({id, offset: 0, choices: [{delta: {content: offset === 0 ? answerToken(prompt, 0) : 'WRONG '}}]}),
+		(id, offset, prompt) => ({id, offset: 0, choices: [{delta: {content: offset === 0 ? generateToken(prompt, 0) : 'WRONG '}}]}),
 		() => undefined,
 	];
 	for (const [index, fault] of faults.entries()) {
@@ -108,7 +108,7 @@
 			odd.closeAllConnections();
 		});
 		await fixture.add(entries => new FakeEngine({
-			name: `sound-${index}`, entries, announceEveryMs: 50, stepMs: 1, models: [model],
+			name: `sound-${index}`, entries, announceIntervalMs: 50, stepMs: 1, models: [model],
 		}));
 		for (let send = 0; send < 6; send++) {
 			const answer = await streamCompletion(fixture.url, {model, content: `whole ${send}`});
@@ -121,7 +121,7 @@
 async function startOddEngine(model: string, fault: Fault): Promise<http.Server> {
 	const server = http.createServer((request, response) => {
 		if (request.method !== 'POST') {
-			replyJson(response, 404, {});
+			sendJson(response, 404, {});
 			return;
 		}
 
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -3,7 +3,7 @@
 import {ControlState, resourceKey} from '../src/control/state.js';
 import {View} from '../src/entry/view.js';
 import type {Command, Put} from '../src/generated/types.js';
-import {decodeValue, encodeValue} from '../src/wire/frame.js';
+import {decodeCbor, encodeCbor} from '../src/wire/frame.js';
 import {assertSnapshot} from './snapshot.js';
 
 test('of two operators with the same version exactly one wins, and the other learns the winner\'s version', () => {
@@ -64,7 +64,7 @@
 	state.apply({
 		type: 'put', at: 0, requestId: 'c', name: 'c', seen: 0, specification: {kind: 'change', action: 'drain', server: 'e1'},
 	}, 3);
-	const copy = new ControlState(decodeValue(encodeValue(state.save())) as ReturnType<ControlState['save']>);
+	const copy = new ControlState(decodeCbor(encodeCbor(state.save())) as ReturnType<ControlState['save']>);
 	assert.deepEqual(copy.save(), state.save());
 	assert.deepEqual(copy.apply(put('p1', 0), 4), answer);
 });
