--- a/bench/commits.ts
+++ b/bench/commits.ts
@@ -16,9 +16,9 @@
 import {createClock} from '../src/base/clock.js';
 import {createSilentLoggers} from '../src/base/logger.js';
 import {createRandom} from '../src/base/random.js';
-import {ConsensusNode, type Machine} from '../src/consensus/node.js';
+import {ConsensusNode, type StateMachine} from '../src/consensus/node.js';
 import {EMPTY_SNAPSHOT, Storage} from '../src/consensus/storage.js';
-import {ControlState, type StateImage} from '../src/control/state.js';
+import {ControlState, type ControlStateSnapshot} from '../src/control/state.js';
 import type {Command, Configuration, Member} from '../src/generated/types.js';
 import {Listener} from '../src/wire/connection.js';
 import {decodeValue, encodeValue} from '../src/wire/frame.js';
@@ -115,7 +115,7 @@
 	async #startNode(member: Member, configuration: Configuration, batched: boolean): Promise<void> {
 		const holder: {node?: ConsensusNode} = {};
 		const storage = await Storage.open(path.join(this.#folder, member.replica), {
-			batched, onSynced: sequence => holder.node?.synced(sequence), onFailed(problem) {
+			batchWrites: batched, onSynced: sequence => holder.node?.markSynced(sequence), onWriteFailure(problem) {
 				console.error(problem.text);
 			},
 		});
@@ -125,15 +125,15 @@
 
 		const node = new ConsensusNode({
 			replica: member.replica,
-			image: {...storage.right.image, snapshot: {...EMPTY_SNAPSHOT, configuration}},
+			persistentState: {...storage.right.persistentState, snapshot: {...EMPTY_SNAPSHOT, configuration}},
 			storage: storage.right,
-			machine: createMachine(),
+			stateMachine: createMachine(),
 			clock: createClock(),
 			random: createRandom(member.port),
 			logger: createSilentLoggers()('consensus'),
-			onLeadership: () => undefined,
+			onLeadershipChange: () => undefined,
 			onApplied: () => undefined,
-			grouped: batched,
+			batchProposals: batched,
 		});
 		holder.node = node;
 		this.#nodes.push(node);
@@ -147,16 +147,16 @@
 	}
 }
 
-function createMachine(): Machine {
+function createMachine(): StateMachine {
 	let state = new ControlState();
 	return {
 		apply: entry => state.apply(decodeValue(entry.data) as Command, entry.index),
 		skip(index) {
 			state.skip(index);
 		},
-		save: () => encodeValue(state.save()),
+		createSnapshot: () => encodeValue(state.createSnapshot()),
 		restore(data) {
-			state = new ControlState(decodeValue(data) as StateImage);
+			state = new ControlState(decodeValue(data) as ControlStateSnapshot);
 		},
 	};
 }
@@ -208,10 +208,10 @@
 	const times: number[] = [];
 	for (let round = 0; round < 15; round++) {
 		const startedMs = performance.now();
-		const storage = await Storage.open(folder, {onSynced: () => undefined, onFailed: () => undefined});
+		const storage = await Storage.open(folder, {onSynced: () => undefined, onWriteFailure: () => undefined});
 		if (Either.isRight(storage)) {
 			const machine = createMachine();
-			const {snapshot, entries} = storage.right.image;
+			const {snapshot, entries} = storage.right.persistentState;
 			if (snapshot.data.length > 0) {
 				machine.restore(snapshot.data);
 			}
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -17,7 +17,7 @@
 import {ControlState} from '../src/control/state.js';
 import {View} from '../src/entry/view.js';
 import type {
-	Announcement, Command, Fact, Gossip, Message, Renew,
+	Announcement, Command, Fact, GossipMessage, Message, RenewRequest,
 } from '../src/generated/types.js';
 import {Directory} from '../src/membership/directory.js';
 import {FANOUT, MAX_RUMOR_BYTES, ROUND_MS} from '../src/membership/gossip.js';
@@ -57,7 +57,7 @@
 
 slope('heap bytes per resource, view of an entry host', [500, 1000, 2000, 4000], count => heapOf(() => {
 	const view = new View();
-	view.apply(createState(count).updateSince(-1));
+	view.apply(createState(count).createViewUpdate(-1));
 	return view;
 }));
 
@@ -65,11 +65,11 @@
 
 slope('heap bytes per ledger entry, control replica', [10_000, 20_000, 40_000, 80_000], count => heapOf(() => createLedger(count)));
 
-slope('snapshot bytes per ledger entry', [10_000, 20_000, 40_000, 80_000], count => encodeValue(createLedger(count).save()).length);
+slope('snapshot bytes per ledger entry', [10_000, 20_000, 40_000, 80_000], count => encodeValue(createLedger(count).createSnapshot()).length);
 
 slope('snapshot microseconds per ledger entry', [10_000, 20_000, 40_000, 80_000], count => {
 	const ledger = createLedger(count);
-	return cpuOf(() => encodeValue(ledger.save()), 5);
+	return cpuOf(() => encodeValue(ledger.createSnapshot()), 5);
 });
 
 slope('leader microseconds per renewal of a view lease', [50, 100, 200, 380], count => {
@@ -78,10 +78,10 @@
 	const frames = Array.from({length: count}, (_, index) => encodeFrame(createRenewal(index, state.viewVersion)).subarray(4));
 	return cpuOf(() => {
 		for (const frame of frames) {
-			const message = decodeValue(frame) as Renew;
+			const message = decodeValue(frame) as RenewRequest;
 			validate('Message', message);
-			const leaseMs = controller.renew(message, 1);
-			encodeFrame(createRenewed(leaseMs, state.updateSince(message.version)));
+			const leaseMs = controller.renewViewLease(message, 1);
+			encodeFrame(createRenewed(leaseMs, state.createViewUpdate(message.version)));
 		}
 	}, 30);
 });
@@ -90,7 +90,7 @@
 	const state = createState(10);
 	let bytes = 0;
 	for (let index = 0; index < count; index++) {
-		bytes += encodeFrame(createRenewal(index, state.viewVersion)).length + encodeFrame(createRenewed(1500, state.updateSince(state.viewVersion))).length;
+		bytes += encodeFrame(createRenewal(index, state.viewVersion)).length + encodeFrame(createRenewed(1500, state.createViewUpdate(state.viewVersion))).length;
 	}
 
 	return bytes;
@@ -100,7 +100,7 @@
 	const state = createState(1200);
 	return cpuOf(() => {
 		for (let host = 0; host < count; host++) {
-			encodeFrame(createRenewed(0, state.updateSince(state.viewVersion - 1)));
+			encodeFrame(createRenewed(0, state.createViewUpdate(state.viewVersion - 1)));
 		}
 	}, 30);
 });
@@ -217,7 +217,7 @@
 
 			const frame = encodeFrame(createGossip(index, facts));
 			bytes += frame.length;
-			const message = decodeValue(frame.subarray(4)) as Gossip;
+			const message = decodeValue(frame.subarray(4)) as GossipMessage;
 			validate('Message', message);
 			for (const fact of message.facts) {
 				directories[target]!.merge(fact, round * ROUND_MS);
@@ -343,13 +343,13 @@
 	] as const satisfies readonly Command[];
 }
 
-function createRenewal(index: number, version: number): Renew {
+function createRenewal(index: number, version: number): RenewRequest {
 	return {
 		type: 'renew', id: 12_345, host: `host-${index}`, boot: '5d1f8f0e-9f6c-4f5e-b0b6-1f2e3d4c5b6a', version, running: [], announcements: [], demand: Array.from({length: 13}, (_, model) => ({model: `model-${model}`, prefill: 1.25, decode: 3.5})), leaving: false,
 	};
 }
 
-function createRenewed(leaseMs: number, view: ReturnType<ControlState['updateSince']>): Message {
+function createRenewed(leaseMs: number, view: ReturnType<ControlState['createViewUpdate']>): Message {
 	const members = Array.from({length: 5}, (_, index) => ({
 		replica: `5d1f8f0e-9f6c-4f5e-b0b6-1f2e3d4c5b6${index}`, host: `host-${index}`, address: '10.20.1.1', port: 7400,
 	}));
--- a/dev/fuzz/checks.ts
+++ b/dev/fuzz/checks.ts
@@ -6,7 +6,7 @@
 import {createHash} from 'node:crypto';
 import {ControlState} from '../../src/control/state.js';
 import type {
-	Command, Configuration, Entry, Outcome, Resource, Snapshot,
+	Command, Configuration, Entry, CommandOutcome, Resource, Snapshot,
 } from '../../src/generated/types.js';
 import {decodeValue} from '../../src/wire/frame.js';
 import type {ControlProcess} from './control.js';
@@ -161,7 +161,7 @@
 	}
 
 	/** Notes what an operator was told. */
-	notePut(requestId: string, name: string, seen: number, outcome: Outcome): void {
+	notePut(requestId: string, name: string, seen: number, outcome: CommandOutcome): void {
 		const text = JSON.stringify(outcome);
 		const known = this.#outcomes.get(requestId);
 		if (known !== undefined && known !== text) {
--- a/dev/fuzz/control.ts
+++ b/dev/fuzz/control.ts
@@ -5,17 +5,17 @@
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import {createRandom} from '../../src/base/random.js';
-import {Replica, type Effect, type LogRecord} from '../../src/consensus/replica.js';
-import {applyRecords, EMPTY_IMAGE, type Image} from '../../src/consensus/storage.js';
+import {Replica, type ReplicaEffect, type LogRecord} from '../../src/consensus/replica.js';
+import {applyRecords, EMPTY_PERSISTENT_STATE, type PersistentState} from '../../src/consensus/storage.js';
 import {
 	Controller, type ControllerEffect, type ControllerTiming, type OrderReport,
 } from '../../src/control/controller.js';
 import {
-	checkRepair, isRepaired, nextConfiguration, type MembersView, type Repair,
-} from '../../src/control/members.js';
-import {ControlState, type StateImage} from '../../src/control/state.js';
+	validateReconfiguration, isReconfigurationComplete, planNextConfiguration, type ConfigurationStatus, type Reconfiguration,
+} from '../../src/control/reconfiguration.js';
+import {ControlState, type ControlStateSnapshot} from '../../src/control/state.js';
 import type {
-	Command, CommandEntry, Configuration, ConsensusBody, Entry, Member, Outcome, Renew, ViewUpdate,
+	Command, CommandEntry, Configuration, ConsensusBody, Entry, Member, CommandOutcome, RenewRequest, ViewUpdate,
 } from '../../src/generated/types.js';
 import {decodeValue, encodeValue} from '../../src/wire/frame.js';
 import type {FakeEngineProcess} from './backend.js';
@@ -60,11 +60,11 @@
 	identity: string;
 	state = new ControlState();
 	controller: Controller | undefined;
-	repair: Repair | undefined;
-	#image: Image;
+	repair: Reconfiguration | undefined;
+	#image: PersistentState;
 	#writes: PendingWrite[] = [];
 	#isSyncing = false;
-	readonly #pending = new Map<number, {readonly term: number; readonly reply: Reply<Outcome>}>();
+	readonly #pending = new Map<number, {readonly term: number; readonly reply: Reply<CommandOutcome>}>();
 	readonly #reads = new Map<number, Reply<ControlState>>();
 	#nextRead = 1;
 	#incarnation = 1;
@@ -75,7 +75,7 @@
 		this.host = host;
 		this.identity = `${host}.1`;
 		this.process = context.world.addProcess(host);
-		this.#image = first ? {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: first}} : EMPTY_IMAGE;
+		this.#image = first ? {...EMPTY_PERSISTENT_STATE, snapshot: {...EMPTY_PERSISTENT_STATE.snapshot, configuration: first}} : EMPTY_PERSISTENT_STATE;
 		context.controls.set(host, this);
 		this.#boot();
 	}
@@ -87,7 +87,7 @@
 	/** Whether it leads, knows all that is committed, and can have no successor yet. */
 	get hasAuthority(): boolean {
 		const {nowMs} = this.#context.world;
-		return this.isLeader && this.replica!.isLeaderReady && this.replica!.leaseUntilMs(nowMs) > nowMs;
+		return this.isLeader && this.replica!.isLeaderReady && this.replica!.getLeaseExpiryMs(nowMs) > nowMs;
 	}
 
 	kill(options: {readonly wipe: boolean}): void {
@@ -104,10 +104,10 @@
 		this.#pending.clear();
 		this.#reads.clear();
 		if (options.wipe) {
-			this.#image = EMPTY_IMAGE;
+			this.#image = EMPTY_PERSISTENT_STATE;
 			if (mutation === 'wiped-replica-votes') {
 				// The identity is taken from the settings, and so is the first configuration.
-				this.#image = {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: this.#context.checks.firstConfiguration}};
+				this.#image = {...EMPTY_PERSISTENT_STATE, snapshot: {...EMPTY_PERSISTENT_STATE.snapshot, configuration: this.#context.checks.firstConfiguration}};
 			} else {
 				this.#incarnation++;
 				this.identity = `${this.host}.${this.#incarnation}`;
@@ -133,7 +133,7 @@
 		}
 	}
 
-	propose(command: Command, reply: Reply<Outcome>): void {
+	propose(command: Command, reply: Reply<CommandOutcome>): void {
 		const {replica} = this;
 		if (!replica?.isLeaderReady) {
 			reply(Either.left('not-leader'));
@@ -153,23 +153,23 @@
 	}
 
 	/** Renews a view lease; later views are pushed to the subscriber as they come. */
-	renew(message: Renew, subscriber: {readonly process: Process; push(view: ViewUpdate): void}, reply: Reply<{readonly leaseMs: number; readonly view: ViewUpdate}>): void {
+	renew(message: RenewRequest, subscriber: {readonly process: Process; push(view: ViewUpdate): void}, reply: Reply<{readonly leaseMs: number; readonly view: ViewUpdate}>): void {
 		if (this.controller === undefined || !this.hasAuthority) {
 			reply(Either.left('not-leader'));
 			return;
 		}
 
-		const leaseMs = this.controller.renew(message, this.#context.world.nowMs);
+		const leaseMs = this.controller.renewViewLease(message, this.#context.world.nowMs);
 		this.#subscribers.set(message.host, {
 			...subscriber, push(view) {
 				subscriber.push(view);
 			}, sentVersion: this.state.viewVersion,
 		});
-		reply(Either.right({leaseMs, view: this.state.updateSince(message.version)}));
+		reply(Either.right({leaseMs, view: this.state.createViewUpdate(message.version)}));
 	}
 
-	beginRepair(repair: Repair): boolean {
-		if (!this.replica?.isLeaderReady || Either.isLeft(checkRepair(repair, this.#membersView(), this.repair))) {
+	beginRepair(repair: Reconfiguration): boolean {
+		if (!this.replica?.isLeaderReady || Either.isLeft(validateReconfiguration(repair, this.#membersView(), this.repair))) {
 			return false;
 		}
 
@@ -180,7 +180,7 @@
 
 	handOver(): void {
 		if (this.replica) {
-			this.#run(this.replica.step({type: 'hand-over'}, this.#context.world.nowMs));
+			this.#run(this.replica.step({type: 'transfer-leadership'}, this.#context.world.nowMs));
 		}
 	}
 
@@ -194,7 +194,7 @@
 			entries: this.#image.entries,
 			nowMs: world.nowMs,
 			random: createRandom(Math.floor(world.random() * 1e9)),
-			mechanisms: consensusMechanisms(mutation),
+			safeguards: consensusMechanisms(mutation),
 			maxEntriesPerAppend: this.#context.maxEntriesPerAppend,
 		});
 		const tick = () => {
@@ -211,12 +211,12 @@
 		world.scheduleIn(this.process, world.random() * TICK_MS, tickController);
 	}
 
-	#createState(image?: StateImage): ControlState {
+	#createState(image?: ControlStateSnapshot): ControlState {
 		return new ControlState(image, this.#context.mutation !== 'no-claim-before-send');
 	}
 
 	#restoreState(data: Uint8Array): ControlState {
-		return this.#createState(decodeValue(data) as StateImage);
+		return this.#createState(decodeValue(data) as ControlStateSnapshot);
 	}
 
 	#tick(): void {
@@ -225,7 +225,7 @@
 		this.#run(replica.step({type: 'tick'}, world.nowMs));
 		const applied = this.state.version;
 		if (applied - replica.snapshotIndex > COMPACT_AFTER_ENTRIES) {
-			this.#run(replica.step({type: 'compact', index: applied, data: encodeValue(this.state.save())}, world.nowMs));
+			this.#run(replica.step({type: 'compact', index: applied, data: encodeValue(this.state.createSnapshot())}, world.nowMs));
 		}
 	}
 
@@ -247,33 +247,33 @@
 			return;
 		}
 
-		if (isRepaired(this.repair, view)) {
+		if (isReconfigurationComplete(this.repair, view)) {
 			this.#context.world.note(`${this.host} finished the repair`);
 			this.repair = undefined;
 			return;
 		}
 
-		const next = nextConfiguration(this.repair, view);
+		const next = planNextConfiguration(this.repair, view);
 		if (next) {
 			const configuration = this.#context.mutation === 'swap-in-one-step' ? {...next, outgoing: []} : next;
-			this.#run(this.replica!.step({type: 'configure', configuration}, this.#context.world.nowMs));
+			this.#run(this.replica!.step({type: 'propose-configuration', configuration}, this.#context.world.nowMs));
 		}
 	}
 
-	#membersView(): MembersView {
+	#membersView(): ConfigurationStatus {
 		const {nowMs} = this.#context.world;
 		const replica = this.replica!;
 		return {
 			configuration: replica.configuration,
 			isCommitted: replica.isConfigurationCommitted,
 			commitIndex: replica.commitIndex,
-			progressOf: name => replica.progressOf(name, nowMs),
+			getProgress: name => replica.getProgress(name, nowMs),
 		};
 	}
 
 	#authority() {
 		const {nowMs} = this.#context.world;
-		return {nowMs, wallMs: Math.floor(nowMs), leaseUntilMs: this.replica!.leaseUntilMs(nowMs)};
+		return {nowMs, wallMs: Math.floor(nowMs), leaseUntilMs: this.replica!.getLeaseExpiryMs(nowMs)};
 	}
 
 	#runController(effect: ControllerEffect): void {
@@ -336,13 +336,13 @@
 		}
 
 		if (this.controller && this.replica?.isLeaderReady) {
-			for (const effect of this.controller.report(report, this.#authority())) {
+			for (const effect of this.controller.handleReport(report, this.#authority())) {
 				this.#runController(effect);
 			}
 		}
 	}
 
-	#run(effects: readonly Effect[]): void {
+	#run(effects: readonly ReplicaEffect[]): void {
 		const {start} = this.process;
 		for (const effect of effects) {
 			// A process that is killed in the middle of a step does not do the rest of it.
@@ -352,7 +352,7 @@
 		}
 	}
 
-	#runOne(effect: Effect): void {
+	#runOne(effect: ReplicaEffect): void {
 		const {world, checks, mutation} = this.#context;
 		switch (effect.type) {
 			case 'write': {
@@ -461,7 +461,7 @@
 		const {world} = this.#context;
 		for (const subscriber of this.hasAuthority ? this.#subscribers.values() : []) {
 			if (subscriber.sentVersion < this.state.viewVersion) {
-				const view = this.state.updateSince(subscriber.sentVersion);
+				const view = this.state.createViewUpdate(subscriber.sentVersion);
 				subscriber.sentVersion = this.state.viewVersion;
 				world.send(this.process, subscriber.process, () => {
 					subscriber.push(view);
@@ -470,7 +470,7 @@
 		}
 	}
 
-	#applyCommand(entry: CommandEntry): Outcome {
+	#applyCommand(entry: CommandEntry): CommandOutcome {
 		const command = decodeValue(entry.data) as Command;
 		const isJudgedAnew = this.#context.mutation === 'no-request-memory' && command.type === 'put';
 		return this.state.apply(isJudgedAnew ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
--- a/dev/fuzz/entry.ts
+++ b/dev/fuzz/entry.ts
@@ -5,9 +5,9 @@
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import {pick} from '../../src/base/random.js';
-import {isNewer} from '../../src/control/controller.js';
+import {isNewerAnnouncement} from '../../src/control/controller.js';
 import type {
-	Announcement, Command, LedgerAnswer, Outcome, Renew, ViewUpdate,
+	Announcement, Command, LedgerOutcome, CommandOutcome, RenewRequest, ViewUpdate,
 } from '../../src/generated/types.js';
 import {View} from '../../src/entry/view.js';
 import type {FakeEngineProcess, FakePlainProcess} from './backend.js';
@@ -78,7 +78,7 @@
 
 	noteAnnouncement(announcement: Announcement): void {
 		const known = this.#announcements.get(announcement.server);
-		if (!known || isNewer(announcement, known)) {
+		if (!known || isNewerAnnouncement(announcement, known)) {
 			this.#announcements.set(announcement.server, announcement);
 		}
 	}
@@ -134,8 +134,8 @@
 	}
 
 	/** Proposes an idempotent command until it is answered or the deadline has passed. */
-	propose(command: Command, deadlineMs: number, reply: (outcome: Outcome | undefined) => void): void {
-		this.#ask<Outcome>(deadlineMs, (control, answer) => {
+	propose(command: Command, deadlineMs: number, reply: (outcome: CommandOutcome | undefined) => void): void {
+		this.#ask<CommandOutcome>(deadlineMs, (control, answer) => {
 			control.propose(command, answer);
 		}, reply);
 	}
@@ -162,7 +162,7 @@
 	#readFirst(): void {
 		this.#ask<ViewUpdate>(5000, (control, answer) => {
 			control.read(state => {
-				answer(Either.map((found: {updateSince: (from: number) => ViewUpdate}) => found.updateSince(-1))(state));
+				answer(Either.map((found: {createViewUpdate: (from: number) => ViewUpdate}) => found.createViewUpdate(-1))(state));
 			});
 		}, update => {
 			if (!update) {
@@ -180,7 +180,7 @@
 		const {world} = this.#context;
 		const askedMs = world.nowMs;
 		const servers = this.view.listChanging();
-		const message: Renew = {
+		const message: RenewRequest = {
 			type: 'renew',
 			id: 1,
 			host: this.host,
@@ -220,7 +220,7 @@
 			type: 'claim', at: Math.floor(world.nowMs), key, fingerprint: key, attempt, host: this.host,
 		};
 		this.propose(command, CLAIM_DEADLINE_MS, outcome => {
-			const answer = outcome as LedgerAnswer | undefined;
+			const answer = outcome as LedgerOutcome | undefined;
 			if (!answer) {
 				this.#settle(key, attempt, {type: 'not-run'});
 				reply(attempt, {type: 'not-run'});
@@ -231,7 +231,7 @@
 		});
 	}
 
-	#onClaim(claim: {key: string; attempt: string; polls: number}, answer: LedgerAnswer, reply: (attempt: string, told: Told) => void): void {
+	#onClaim(claim: {key: string; attempt: string; polls: number}, answer: LedgerOutcome, reply: (attempt: string, told: Told) => void): void {
 		const {key, attempt, polls} = claim;
 		switch (answer.state) {
 			case 'granted': {
--- a/dev/fuzz/mutations.ts
+++ b/dev/fuzz/mutations.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
-import {ALL_MECHANISMS, type Mechanisms} from '../../src/consensus/mechanisms.js';
-import {ALL_ORDER_MECHANISMS, type OrderMechanisms} from '../../src/control/controller.js';
+import {ALL_SAFEGUARDS, type Safeguards} from '../../src/consensus/safeguards.js';
+import {ALL_ORDER_SAFEGUARDS, type OrderSafeguards} from '../../src/control/controller.js';
 
 export const MUTATIONS = {
 	'no-sync-before-reply': 'replies and own votes count before the disk is synced',
@@ -32,20 +32,20 @@
  *
  * @example
  * ```ts
- * consensusMechanisms('vote-not-kept').hardStateKept; // false
+ * consensusMechanisms('vote-not-kept').persistHardState; // false
  * ```
  */
-export function consensusMechanisms(mutation: Mutation | undefined): Mechanisms {
+export function consensusMechanisms(mutation: Mutation | undefined): Safeguards {
 	return {
-		...ALL_MECHANISMS,
+		...ALL_SAFEGUARDS,
 		syncBeforeReply: mutation !== 'no-sync-before-reply',
-		hardStateKept: mutation !== 'vote-not-kept',
-		ownTermCommit: mutation !== 'commit-older-term',
-		identityOnDisk: mutation !== 'wiped-replica-votes',
-		readIndex: mutation !== 'no-read-index',
-		leaseRespected: mutation !== 'no-leader-lease',
-		jointConfiguration: mutation !== 'swap-in-one-step',
-		logMatching: mutation !== 'no-log-matching',
+		persistHardState: mutation !== 'vote-not-kept',
+		commitOwnTermOnly: mutation !== 'commit-older-term',
+		persistIdentity: mutation !== 'wiped-replica-votes',
+		confirmReads: mutation !== 'no-read-index',
+		respectLease: mutation !== 'no-leader-lease',
+		useJointConfiguration: mutation !== 'swap-in-one-step',
+		checkLogMatching: mutation !== 'no-log-matching',
 	};
 }
 
@@ -57,11 +57,11 @@
  * orderMechanisms('no-read-back').readBack; // false
  * ```
  */
-export function orderMechanisms(mutation: Mutation | undefined): OrderMechanisms {
+export function orderMechanisms(mutation: Mutation | undefined): OrderSafeguards {
 	return {
-		...ALL_ORDER_MECHANISMS,
-		waitOutLease: mutation !== 'no-lease-wait-out',
-		awaitViews: mutation !== 'no-view-acknowledgement',
-		readBack: mutation !== 'no-read-back',
+		...ALL_ORDER_SAFEGUARDS,
+		awaitLeaseExpiry: mutation !== 'no-lease-wait-out',
+		awaitViewAcknowledgements: mutation !== 'no-view-acknowledgement',
+		queryBeforeResend: mutation !== 'no-read-back',
 	};
 }
--- a/dev/fuzz/run.ts
+++ b/dev/fuzz/run.ts
@@ -8,7 +8,7 @@
 } from '../../src/base/random.js';
 import {DEFAULT_CONTROLLER_TIMING, type ControllerTiming} from '../../src/control/controller.js';
 import type {
-	Configuration, Member, Outcome, Specification,
+	Configuration, Member, CommandOutcome, Specification,
 } from '../../src/generated/types.js';
 import {FakeEngineProcess, FakePlainProcess} from './backend.js';
 import {Checks} from './checks.js';
@@ -411,7 +411,7 @@
 		}
 	}
 
-	#onPut(requestId: string, name: string, seen: number, outcome: Outcome | undefined): void {
+	#onPut(requestId: string, name: string, seen: number, outcome: CommandOutcome | undefined): void {
 		if (outcome) {
 			this.#checks.notePut(requestId, name, seen, outcome);
 		}
@@ -638,7 +638,7 @@
 			return;
 		}
 
-		const open = reference.ledger.listOpen();
+		const open = reference.ledger.listOpenClaims();
 		if (open.length > 0) {
 			this.#checks.fail(`claims stay open after healing: ${open.map(({key, attempt}) => `${key} ${attempt}`).join(', ')}`);
 		}
--- a/src/consensus/configuration.ts
+++ b/src/consensus/configuration.ts
@@ -57,7 +57,7 @@
  * quorumValue({voters: [a, b, c], outgoing: [], learners: []}, replica => matchIndex[replica]);
  * ```
  */
-export function quorumValue(configuration: Configuration, valueOf: (replica: string) => number): number {
+export function findQuorumValue(configuration: Configuration, valueOf: (replica: string) => number): number {
 	const value = majorityValue(configuration.voters, valueOf);
 	return configuration.outgoing.length === 0
 		? value
--- a/src/consensus/log.ts
+++ b/src/consensus/log.ts
@@ -32,15 +32,15 @@
 	}
 
 	/** Term of an entry; undefined for an index that is not held. */
-	termAt(index: number): number | undefined {
+	getTerm(index: number): number | undefined {
 		if (index === this.#snapshot.index) {
 			return this.#snapshot.term;
 		}
 
-		return this.entryAt(index)?.term;
+		return this.getEntry(index)?.term;
 	}
 
-	entryAt(index: number): Entry | undefined {
+	getEntry(index: number): Entry | undefined {
 		return index > this.#snapshot.index ? this.#entries[index - this.#snapshot.index - 1] : undefined;
 	}
 
@@ -64,13 +64,13 @@
 
 	/** Drops the entries that a snapshot covers; all of them if the log does not contain its end. */
 	compact(snapshot: Snapshot): void {
-		const matches = this.termAt(snapshot.index) === snapshot.term;
+		const matches = this.getTerm(snapshot.index) === snapshot.term;
 		this.#entries = matches ? this.slice(snapshot.index + 1, this.lastIndex) : [];
 		this.#snapshot = snapshot;
 	}
 
 	/** The configuration in force: the latest in the log, committed or not. */
-	findConfiguration(): {readonly index: number; readonly configuration: Configuration} {
+	findLatestConfiguration(): {readonly index: number; readonly configuration: Configuration} {
 		for (let index = this.#entries.length - 1; index >= 0; index--) {
 			const entry = this.#entries[index]!;
 			if (entry.type === 'configuration') {
--- a/src/consensus/node.ts
+++ b/src/consensus/node.ts
@@ -9,60 +9,60 @@
 import {createProblem, type Problem} from '../base/problem.js';
 import type {Random} from '../base/random.js';
 import type {
-	CommandEntry, Configuration, Consensus, ConsensusBody, Entry, Member,
+	CommandEntry, Configuration, ConsensusMessage, ConsensusBody, Entry, Member,
 } from '../generated/types.js';
 import {ConnectionPool, type Connection} from '../wire/connection.js';
 import {
-	Replica, type Effect, type Event, type LogRecord, type Role, type Timing,
+	Replica, type ReplicaEffect, type ReplicaEvent, type LogRecord, type ReplicaRole, type ReplicaTiming,
 } from './replica.js';
-import type {Image, Storage} from './storage.js';
+import type {PersistentState, Storage} from './storage.js';
 
 /** The state that the log drives. */
-export interface Machine {
+export interface StateMachine {
 	/** Applies a committed command and returns its outcome for the proposer. */
 	apply(entry: CommandEntry): unknown;
 	/** Notes a committed entry without a command. */
 	skip(index: number): void;
-	save(): Uint8Array;
+	createSnapshot(): Uint8Array;
 	restore(data: Uint8Array): void;
 }
 
 /** A command that was committed, with what applying it gave. */
-export type Committed = {
+export type CommitResult = {
 	readonly index: number;
 	readonly outcome: unknown;
 };
 
 export type Leadership = {
-	readonly role: Role;
+	readonly role: ReplicaRole;
 	readonly term: number;
 	readonly leader: string;
 };
 
 export type NodeOptions = {
 	readonly replica: string;
-	readonly image: Image;
+	readonly persistentState: PersistentState;
 	readonly storage: Pick<Storage, 'write' | 'close'>;
-	readonly machine: Machine;
+	readonly stateMachine: StateMachine;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
-	readonly timing?: Timing;
+	readonly timing?: ReplicaTiming;
 	readonly compactAfterEntries?: number;
 	/** Whether proposals that wait together become one write; the bench's baseline has them apart. */
-	readonly grouped?: boolean;
-	readonly onLeadership: (leadership: Leadership) => void;
+	readonly batchProposals?: boolean;
+	readonly onLeadershipChange: (leadership: Leadership) => void;
 	readonly onApplied: () => void;
 };
 
 type Pending = {
 	readonly term: number;
-	readonly settle: (result: Either.Either<Problem, Committed>) => void;
+	readonly settle: (result: Either.Either<Problem, CommitResult>) => void;
 };
 
 type Queued = {
 	readonly data: Uint8Array;
-	readonly settle: (result: Either.Either<Problem, Committed>) => void;
+	readonly settle: (result: Either.Either<Problem, CommitResult>) => void;
 };
 
 const TICK_MS = 20;
@@ -87,7 +87,7 @@
 
 	constructor(options: NodeOptions) {
 		this.#options = options;
-		const {image, machine} = options;
+		const {persistentState: image, stateMachine} = options;
 		this.#replica = new Replica({
 			replica: options.replica,
 			hard: image.hard,
@@ -99,7 +99,7 @@
 		});
 		this.#appliedIndex = image.snapshot.index;
 		if (image.snapshot.data.length > 0) {
-			machine.restore(image.snapshot.data);
+			stateMachine.restore(image.snapshot.data);
 		}
 
 		this.#pool = new ConnectionPool(message => {
@@ -127,12 +127,12 @@
 	}
 
 	/** Monotonic time until which this replica is surely the only leader. */
-	leaseUntilMs(): number {
-		return this.#replica.leaseUntilMs(this.#options.clock.monotonicMs());
+	getLeaseExpiryMs(): number {
+		return this.#replica.getLeaseExpiryMs(this.#options.clock.monotonicMs());
 	}
 
 	/** Takes a message that arrived on an accepted connection; replies go back on it. */
-	receive(message: Consensus, connection: Connection): void {
+	receive(message: ConsensusMessage, connection: Connection): void {
 		if (message.to !== this.#options.replica || this.#isClosed) {
 			return;
 		}
@@ -142,7 +142,7 @@
 	}
 
 	/** Tells that a write is on disk. */
-	synced(sequence: number): void {
+	markSynced(sequence: number): void {
 		this.#step({type: 'synced', sequence});
 	}
 
@@ -154,7 +154,7 @@
 	 * const result = await node.propose(encodeValue(command));
 	 * ```
 	 */
-	async propose(data: Uint8Array): Promise<Either.Either<Problem, Committed>> {
+	async propose(data: Uint8Array): Promise<Either.Either<Problem, CommitResult>> {
 		if (this.#replica.role !== 'leader') {
 			return Either.left(createProblem('notLeader'));
 		}
@@ -163,7 +163,7 @@
 			const timer = setTimeout(() => {
 				resolve(Either.left(createProblem('proposalUnknown')));
 			}, PROPOSAL_TIMEOUT_MS);
-			const settle = (result: Either.Either<Problem, Committed>) => {
+			const settle = (result: Either.Either<Problem, CommitResult>) => {
 				clearTimeout(timer);
 				resolve(result);
 			};
@@ -179,7 +179,7 @@
 	}
 
 	/** Waits until this replica is known to lead and to have applied all that was committed before the call. */
-	async read(): Promise<Either.Either<Problem, number>> {
+	async awaitReadIndex(): Promise<Either.Either<Problem, number>> {
 		return new Promise(resolve => {
 			const id = this.#nextRead++;
 			const timer = setTimeout(() => {
@@ -194,13 +194,13 @@
 		});
 	}
 
-	configure(configuration: Configuration): void {
-		this.#step({type: 'configure', configuration});
+	proposeConfiguration(configuration: Configuration): void {
+		this.#step({type: 'propose-configuration', configuration});
 	}
 
 	/** Hands leadership over, if this replica leads. */
-	handOver(): void {
-		this.#step({type: 'hand-over'});
+	transferLeadership(): void {
+		this.#step({type: 'transfer-leadership'});
 	}
 
 	async close(): Promise<void> {
@@ -231,19 +231,19 @@
 		}
 
 		const data = queue.map(entry => entry.data);
-		for (const group of this.#options.grouped === false ? data.map(one => [one]) : [data]) {
+		for (const group of this.#options.batchProposals === false ? data.map(one => [one]) : [data]) {
 			this.#step({type: 'propose', data: group});
 		}
 	}
 
-	#onMessage(message: Consensus): void {
+	#onMessage(message: ConsensusMessage): void {
 		if (message.to === this.#options.replica && !this.#isClosed) {
 			this.#heardMs.set(message.from, this.#options.clock.monotonicMs());
 			this.#step({type: 'message', from: message.from, body: message.body});
 		}
 	}
 
-	#step(event: Event): void {
+	#step(event: ReplicaEvent): void {
 		if (this.#isClosed) {
 			return;
 		}
@@ -255,7 +255,7 @@
 		this.#compactIfLong();
 	}
 
-	#run(effect: Effect): void {
+	#run(effect: ReplicaEffect): void {
 		switch (effect.type) {
 			case 'write': {
 				this.#write(effect.sequence, effect.records);
@@ -273,7 +273,7 @@
 			}
 
 			case 'restore': {
-				this.#options.machine.restore(effect.snapshot.data);
+				this.#options.stateMachine.restore(effect.snapshot.data);
 				this.#appliedIndex = effect.snapshot.index;
 				this.#options.onApplied();
 				break;
@@ -301,7 +301,7 @@
 	}
 
 	#send(to: Member, body: ConsensusBody): void {
-		const message: Consensus = {
+		const message: ConsensusMessage = {
 			type: 'consensus', from: this.#options.replica, to: to.replica, body,
 		};
 		const inbound = this.#inbound.get(to.replica);
@@ -328,9 +328,9 @@
 
 	#apply(entries: readonly Entry[]): void {
 		for (const entry of entries) {
-			const outcome = entry.type === 'command' ? this.#options.machine.apply(entry) : undefined;
+			const outcome = entry.type === 'command' ? this.#options.stateMachine.apply(entry) : undefined;
 			if (entry.type !== 'command') {
-				this.#options.machine.skip(entry.index);
+				this.#options.stateMachine.skip(entry.index);
 			}
 
 			this.#appliedIndex = entry.index;
@@ -358,13 +358,13 @@
 	#onRole(effect: Leadership): void {
 		const {role, term, leader} = effect;
 		this.#options.logger.info(`Is ${role} in term ${term}.`, {role, term, leader});
-		this.#options.onLeadership({role, term, leader});
+		this.#options.onLeadershipChange({role, term, leader});
 	}
 
 	#compactIfLong(): void {
 		const limit = this.#options.compactAfterEntries ?? DEFAULT_COMPACT_AFTER_ENTRIES;
 		if (this.#appliedIndex - this.#replica.snapshotIndex >= limit) {
-			this.#step({type: 'compact', index: this.#appliedIndex, data: this.#options.machine.save()});
+			this.#step({type: 'compact', index: this.#appliedIndex, data: this.#options.stateMachine.createSnapshot()});
 		}
 	}
 }
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -11,16 +11,16 @@
 } from '../generated/types.js';
 import type {Random} from '../base/random.js';
 import {
-	hasQuorum, isVoter, listMembers, quorumValue,
+	hasQuorum, isVoter, listMembers, findQuorumValue,
 } from './configuration.js';
 import {Log} from './log.js';
-import {ALL_MECHANISMS, type Mechanisms} from './mechanisms.js';
+import {ALL_SAFEGUARDS, type Safeguards} from './safeguards.js';
 
-export const ROLES = {follower: 'follower', candidate: 'candidate', leader: 'leader'} as const;
-export type Role = keyof typeof ROLES;
+export const REPLICA_ROLES = {follower: 'follower', candidate: 'candidate', leader: 'leader'} as const;
+export type ReplicaRole = keyof typeof REPLICA_ROLES;
 
 /** Durations in milliseconds of monotonic time. */
-export type Timing = {
+export type ReplicaTiming = {
 	readonly heartbeatMs: number;
 	/** Shortest election timeout; also the length of the leader's lease. */
 	readonly electionMs: number;
@@ -28,7 +28,7 @@
 	readonly clockDrift: number;
 };
 
-export const DEFAULT_TIMING: Timing = {heartbeatMs: 100, electionMs: 600, clockDrift: 0.05};
+export const DEFAULT_REPLICA_TIMING: ReplicaTiming = {heartbeatMs: 100, electionMs: 600, clockDrift: 0.05};
 
 /** What must be on disk before a replica may answer for it. */
 export type HardState = {
@@ -43,24 +43,24 @@
 		| {readonly type: 'entries'; readonly entries: readonly Entry[]}
 		| {readonly type: 'snapshot'; readonly snapshot: Snapshot};
 
-export type Effect
+export type ReplicaEffect
 	= | {readonly type: 'write'; readonly sequence: number; readonly records: readonly LogRecord[]}
 		| {readonly type: 'send'; readonly to: Member; readonly body: ConsensusBody}
 		| {readonly type: 'commit'; readonly entries: readonly Entry[]}
 		| {readonly type: 'restore'; readonly snapshot: Snapshot}
-		| {readonly type: 'role'; readonly role: Role; readonly term: number; readonly leader: string}
+		| {readonly type: 'role'; readonly role: ReplicaRole; readonly term: number; readonly leader: string}
 		| {readonly type: 'read'; readonly id: number; readonly index: number}
 		| {readonly type: 'read-refused'; readonly id: number};
 
-export type Event
+export type ReplicaEvent
 	= | {readonly type: 'tick'}
 		| {readonly type: 'synced'; readonly sequence: number}
 		| {readonly type: 'message'; readonly from: string; readonly body: ConsensusBody}
 		| {readonly type: 'propose'; readonly data: readonly Uint8Array[]}
-		| {readonly type: 'configure'; readonly configuration: Configuration}
+		| {readonly type: 'propose-configuration'; readonly configuration: Configuration}
 		| {readonly type: 'read'; readonly id: number}
 		| {readonly type: 'compact'; readonly index: number; readonly data: Uint8Array}
-		| {readonly type: 'hand-over'};
+		| {readonly type: 'transfer-leadership'};
 
 export type ReplicaOptions = {
 	readonly replica: string;
@@ -69,8 +69,8 @@
 	readonly entries: readonly Entry[];
 	readonly nowMs: number;
 	readonly random: Random;
-	readonly timing?: Timing;
-	readonly mechanisms?: Mechanisms;
+	readonly timing?: ReplicaTiming;
+	readonly safeguards?: Safeguards;
 	readonly maxEntriesPerAppend?: number;
 };
 
@@ -98,14 +98,14 @@
 /** The step machine of one replica. */
 export class Replica {
 	readonly id: string;
-	readonly timing: Timing;
-	readonly #mechanisms: Mechanisms;
+	readonly timing: ReplicaTiming;
+	readonly #safeguards: Safeguards;
 	readonly #random: Random;
 	readonly #maxEntriesPerAppend: number;
 	readonly #log: Log;
 	#term: number;
 	#vote: string;
-	#role: Role = ROLES.follower;
+	#role: ReplicaRole = REPLICA_ROLES.follower;
 	#leader = NOBODY;
 	#commitIndex: number;
 	#configuration: Configuration;
@@ -127,13 +127,13 @@
 	#syncedSequence = 0;
 	#syncedIndex: number;
 	readonly #pendingWrites: Array<{sequence: number; lastIndex: number}> = [];
-	#held: Array<{sequence: number; effect: Effect}> = [];
-	#effects: Effect[] = [];
+	#held: Array<{sequence: number; effect: ReplicaEffect}> = [];
+	#effects: ReplicaEffect[] = [];
 
 	constructor(options: ReplicaOptions) {
 		this.id = options.replica;
-		this.timing = options.timing ?? DEFAULT_TIMING;
-		this.#mechanisms = options.mechanisms ?? ALL_MECHANISMS;
+		this.timing = options.timing ?? DEFAULT_REPLICA_TIMING;
+		this.#safeguards = options.safeguards ?? ALL_SAFEGUARDS;
 		this.#random = options.random;
 		this.#maxEntriesPerAppend = options.maxEntriesPerAppend ?? DEFAULT_ENTRIES_PER_APPEND;
 		this.#log = new Log(options.snapshot, options.entries);
@@ -141,7 +141,7 @@
 		this.#vote = options.hard.vote;
 		this.#commitIndex = options.snapshot.index;
 		this.#syncedIndex = this.#log.lastIndex;
-		const {index, configuration} = this.#log.findConfiguration();
+		const {index, configuration} = this.#log.findLatestConfiguration();
 		this.#configuration = configuration;
 		this.#configurationIndex = index;
 		// A restarted replica may have promised a leader its lease and not remember it.
@@ -149,7 +149,7 @@
 		this.#resetElection(options.nowMs);
 	}
 
-	get role(): Role {
+	get role(): ReplicaRole {
 		return this.#role;
 	}
 
@@ -189,33 +189,33 @@
 
 	/** Whether the leader has committed an entry of its own term, so that it knows all that is committed. */
 	get isLeaderReady(): boolean {
-		return this.#role === ROLES.leader && this.#log.termAt(this.#commitIndex) === this.#term;
+		return this.#role === REPLICA_ROLES.leader && this.#log.getTerm(this.#commitIndex) === this.#term;
 	}
 
 	/** Whether a majority follows this leader, or this follower has heard its leader, within an election timeout. */
-	isInTouch(nowMs: number): boolean {
-		return this.#role === ROLES.leader
-			? this.leaseUntilMs(nowMs) > nowMs
+	hasQuorumContact(nowMs: number): boolean {
+		return this.#role === REPLICA_ROLES.leader
+			? this.getLeaseExpiryMs(nowMs) > nowMs
 			: this.#leader !== NOBODY && nowMs < this.#quietUntilMs;
 	}
 
 	/** Term of an entry that is still in the log. */
-	termAt(index: number): number | undefined {
-		return this.#log.termAt(index);
+	getTerm(index: number): number | undefined {
+		return this.#log.getTerm(index);
 	}
 
 	/** Monotonic time until which no other leader can exist; in the past without authority. */
-	leaseUntilMs(nowMs: number): number {
-		if (this.#role !== ROLES.leader || this.#handedOverMs <= nowMs) {
+	getLeaseExpiryMs(nowMs: number): number {
+		if (this.#role !== REPLICA_ROLES.leader || this.#handedOverMs <= nowMs) {
 			return Number.NEGATIVE_INFINITY;
 		}
 
-		const confirmedMs = quorumValue(this.#configuration, replica => this.#confirmedMs(replica, nowMs));
+		const confirmedMs = findQuorumValue(this.#configuration, replica => this.#confirmedMs(replica, nowMs));
 		return confirmedMs + (this.timing.electionMs * (1 - this.timing.clockDrift));
 	}
 
 	/** How far a peer has got, for the leader's report. */
-	progressOf(replica: string, nowMs: number): {readonly matchIndex: number; readonly alive: boolean} {
+	getProgress(replica: string, nowMs: number): {readonly matchIndex: number; readonly alive: boolean} {
 		if (replica === this.id) {
 			return {matchIndex: this.#syncedIndex, alive: true};
 		}
@@ -228,13 +228,13 @@
 	}
 
 	/** Takes one event and returns what must be done, in order. */
-	step(event: Event, nowMs: number): Effect[] {
+	step(event: ReplicaEvent, nowMs: number): ReplicaEffect[] {
 		this.#effects = [];
 		this.#handle(event, nowMs);
 		return this.#effects;
 	}
 
-	#handle(event: Event, nowMs: number): void {
+	#handle(event: ReplicaEvent, nowMs: number): void {
 		switch (event.type) {
 			case 'tick': {
 				this.#tick(nowMs);
@@ -256,7 +256,7 @@
 				break;
 			}
 
-			case 'configure': {
+			case 'propose-configuration': {
 				this.#onConfigure(event.configuration, nowMs);
 				break;
 			}
@@ -271,7 +271,7 @@
 				break;
 			}
 
-			case 'hand-over': {
+			case 'transfer-leadership': {
 				this.#handOver(nowMs);
 				break;
 			}
@@ -279,7 +279,7 @@
 	}
 
 	#tick(nowMs: number): void {
-		if (this.#role === ROLES.leader) {
+		if (this.#role === REPLICA_ROLES.leader) {
 			this.#tickLeader(nowMs);
 			return;
 		}
@@ -290,7 +290,7 @@
 	}
 
 	#tickLeader(nowMs: number): void {
-		const heardMs = quorumValue(this.#configuration, replica => this.#confirmedMs(replica, nowMs));
+		const heardMs = findQuorumValue(this.#configuration, replica => this.#confirmedMs(replica, nowMs));
 		const isCutOff = nowMs - Math.max(heardMs, this.#electedMs) >= this.timing.electionMs;
 		// A hand-over that came to nothing leaves a leader without a lease: an election must follow.
 		const isHandOverOver = nowMs - this.#handedOverMs >= this.timing.electionMs;
@@ -311,7 +311,7 @@
 		this.#votes = new Set([this.id]);
 		if (!options.preVote) {
 			this.#setTerm(this.#term + 1, this.id);
-			this.#setRole(ROLES.candidate, NOBODY);
+			this.#setRole(REPLICA_ROLES.candidate, NOBODY);
 			this.#holdOwnVote();
 		}
 
@@ -334,7 +334,7 @@
 
 	/** A replica's vote for itself counts like any other: once it is on disk. */
 	#holdOwnVote(): void {
-		if (this.#mechanisms.syncBeforeReply) {
+		if (this.#safeguards.syncBeforeReply) {
 			this.#votes.clear();
 			this.#ownVoteSequence = this.#writeSequence;
 		}
@@ -350,7 +350,7 @@
 			return;
 		}
 
-		if (this.#role === ROLES.candidate) {
+		if (this.#role === REPLICA_ROLES.candidate) {
 			this.#becomeLeader(nowMs);
 		}
 	}
@@ -362,7 +362,7 @@
 		this.#electedMs = nowMs;
 		this.#round = 0;
 		this.#roundSentMs = new Map();
-		this.#setRole(ROLES.leader, this.id);
+		this.#setRole(REPLICA_ROLES.leader, this.id);
 		this.#appendOwn([{type: 'noop', index: this.#log.lastIndex + 1, term: this.#term}]);
 		this.#broadcast(nowMs);
 	}
@@ -375,7 +375,7 @@
 		this.#refuseReads();
 		this.#preVoting = false;
 		this.#resetElection(nowMs);
-		this.#setRole(ROLES.follower, leader);
+		this.#setRole(REPLICA_ROLES.follower, leader);
 	}
 
 	#onMessage(from: string, body: ConsensusBody, nowMs: number): void {
@@ -427,8 +427,8 @@
 			return;
 		}
 
-		const leaseHolds = this.#mechanisms.leaseRespected && nowMs < this.#quietUntilMs && !request.transfer;
-		const leads = this.#role === ROLES.leader && request.term <= this.#term + 1 && request.preVote;
+		const leaseHolds = this.#safeguards.respectLease && nowMs < this.#quietUntilMs && !request.transfer;
+		const leads = this.#role === REPLICA_ROLES.leader && request.term <= this.#term + 1 && request.preVote;
 		if (leaseHolds || leads) {
 			this.#sendDurable(member, {
 				type: 'vote-reply', term: this.#term, preVote: request.preVote, granted: false,
@@ -458,7 +458,7 @@
 
 	#onVoteReply(from: string, reply: VoteReply, nowMs: number): void {
 		const expectedTerm = reply.preVote ? this.#term + 1 : this.#term;
-		const isExpected = reply.preVote === this.#preVoting && (this.#preVoting || this.#role === ROLES.candidate);
+		const isExpected = reply.preVote === this.#preVoting && (this.#preVoting || this.#role === REPLICA_ROLES.candidate);
 		if (!reply.granted || !isExpected || reply.term !== expectedTerm) {
 			return;
 		}
@@ -484,7 +484,7 @@
 			// What lies before the snapshot is committed, thus equal.
 			const skipped = this.#log.snapshot.index - request.previousIndex;
 			this.#appendFrom(request.entries.slice(skipped));
-		} else if (this.#mechanisms.logMatching && this.#log.termAt(request.previousIndex) !== request.previousTerm) {
+		} else if (this.#safeguards.checkLogMatching && this.#log.getTerm(request.previousIndex) !== request.previousTerm) {
 			this.#sendDurable(member, reply(false, this.#findRetryIndex(request.previousIndex)));
 			return;
 		} else {
@@ -526,13 +526,13 @@
 		this.#quietUntilMs = nowMs + this.timing.electionMs;
 		this.#resetElection(nowMs);
 		this.#preVoting = false;
-		if (this.#role !== ROLES.follower || this.#leader !== leader) {
-			this.#setRole(ROLES.follower, leader);
+		if (this.#role !== REPLICA_ROLES.follower || this.#leader !== leader) {
+			this.#setRole(REPLICA_ROLES.follower, leader);
 		}
 	}
 
 	#appendFrom(entries: readonly Entry[]): void {
-		const start = entries.findIndex(entry => this.#log.termAt(entry.index) !== entry.term);
+		const start = entries.findIndex(entry => this.#log.getTerm(entry.index) !== entry.term);
 		if (start === -1) {
 			return;
 		}
@@ -565,9 +565,9 @@
 			return this.#log.lastIndex;
 		}
 
-		const conflictingTerm = this.#log.termAt(previousIndex);
+		const conflictingTerm = this.#log.getTerm(previousIndex);
 		let index = previousIndex - 1;
-		while (index > this.#commitIndex && this.#log.termAt(index) === conflictingTerm) {
+		while (index > this.#commitIndex && this.#log.getTerm(index) === conflictingTerm) {
 			index--;
 		}
 
@@ -575,7 +575,7 @@
 	}
 
 	#onAppendReply(from: string, reply: AppendReply, nowMs: number): void {
-		if (this.#role !== ROLES.leader || reply.term !== this.#term) {
+		if (this.#role !== REPLICA_ROLES.leader || reply.term !== this.#term) {
 			return;
 		}
 
@@ -595,14 +595,14 @@
 		this.#leaveJointConfiguration(nowMs);
 		const member = this.#findMember(from);
 		const hasMore = peer.nextIndex <= this.#log.lastIndex;
-		if (member && this.#role === ROLES.leader && (!reply.success || hasMore)) {
+		if (member && this.#role === REPLICA_ROLES.leader && (!reply.success || hasMore)) {
 			this.#sendEntries(member, nowMs);
 		}
 	}
 
 	#commitByQuorum(nowMs: number): void {
-		const reached = quorumValue(this.#configuration, replica => this.#matchIndexOf(replica));
-		const isOwnTerm = this.#log.termAt(reached) === this.#term || !this.#mechanisms.ownTermCommit;
+		const reached = findQuorumValue(this.#configuration, replica => this.#matchIndexOf(replica));
+		const isOwnTerm = this.#log.getTerm(reached) === this.#term || !this.#safeguards.commitOwnTermOnly;
 		if (reached <= this.#commitIndex || !isOwnTerm) {
 			return;
 		}
@@ -621,13 +621,13 @@
 		const {voters, outgoing, learners} = this.#configuration;
 		const isHeld = voters.every(member => outgoing.some(old => old.replica === member.replica)
 			|| this.#matchIndexOf(member.replica) >= this.#configurationIndex);
-		if (this.#role === ROLES.leader && outgoing.length > 0 && this.isConfigurationCommitted && isHeld) {
+		if (this.#role === REPLICA_ROLES.leader && outgoing.length > 0 && this.isConfigurationCommitted && isHeld) {
 			this.#appendConfiguration({voters, outgoing: [], learners}, nowMs);
 		}
 	}
 
 	#onPropose(data: readonly Uint8Array[], nowMs: number): void {
-		if (this.#role !== ROLES.leader) {
+		if (this.#role !== REPLICA_ROLES.leader) {
 			return;
 		}
 
@@ -639,7 +639,7 @@
 	}
 
 	#onConfigure(configuration: Configuration, nowMs: number): void {
-		if (this.#role === ROLES.leader && this.isConfigurationCommitted && this.#configuration.outgoing.length === 0) {
+		if (this.#role === REPLICA_ROLES.leader && this.isConfigurationCommitted && this.#configuration.outgoing.length === 0) {
 			this.#appendConfiguration(configuration, nowMs);
 		}
 	}
@@ -663,7 +663,7 @@
 			return;
 		}
 
-		if (!this.#mechanisms.readIndex) {
+		if (!this.#safeguards.confirmReads) {
 			this.#effects.push({type: 'read', id, index: this.#commitIndex});
 			return;
 		}
@@ -674,7 +674,7 @@
 	}
 
 	#answerReads(): void {
-		const round = quorumValue(this.#configuration, replica => this.#confirmedRound(replica));
+		const round = findQuorumValue(this.#configuration, replica => this.#confirmedRound(replica));
 		const ready = this.#reads.filter(read => read.round <= round);
 		this.#reads = this.#reads.filter(read => read.round > round);
 		for (const {id, index} of ready) {
@@ -691,7 +691,7 @@
 	}
 
 	#onCompact(index: number, data: Uint8Array): void {
-		const term = this.#log.termAt(index);
+		const term = this.#log.getTerm(index);
 		if (term === undefined || index <= this.#log.snapshot.index || index > this.#commitIndex) {
 			return;
 		}
@@ -705,12 +705,12 @@
 
 	/** Hands leadership to the peer that is furthest ahead. */
 	#handOver(nowMs: number): void {
-		if (this.#role !== ROLES.leader) {
+		if (this.#role !== REPLICA_ROLES.leader) {
 			return;
 		}
 
 		const candidates = this.#others().filter(member => isVoter(this.#configuration, member.replica)
-			&& this.progressOf(member.replica, nowMs).alive);
+			&& this.getProgress(member.replica, nowMs).alive);
 		candidates.sort((a, b) => this.#matchIndexOf(b.replica) - this.#matchIndexOf(a.replica));
 		const best = candidates[0];
 		if (best) {
@@ -743,7 +743,7 @@
 	#sendEntries(member: Member, nowMs: number): void {
 		const peer = this.#peerOf(member.replica);
 		const previousIndex = peer.nextIndex - 1;
-		const previousTerm = this.#log.termAt(previousIndex);
+		const previousTerm = this.#log.getTerm(previousIndex);
 		if (previousTerm === undefined) {
 			this.#sendSnapshot(member, peer, nowMs);
 			return;
@@ -793,12 +793,12 @@
 			this.#effects.push(effect);
 		}
 
-		if (this.#role === ROLES.candidate && sequence >= this.#ownVoteSequence) {
+		if (this.#role === REPLICA_ROLES.candidate && sequence >= this.#ownVoteSequence) {
 			this.#votes.add(this.id);
 			this.#countVotes(nowMs);
 		}
 
-		if (this.#role === ROLES.leader) {
+		if (this.#role === REPLICA_ROLES.leader) {
 			this.#commitByQuorum(nowMs);
 		}
 	}
@@ -810,8 +810,8 @@
 	}
 
 	#sendDurable(to: Member, body: ConsensusBody): void {
-		const effect: Effect = {type: 'send', to, body};
-		if (this.#mechanisms.syncBeforeReply && this.#writeSequence > this.#syncedSequence) {
+		const effect: ReplicaEffect = {type: 'send', to, body};
+		if (this.#safeguards.syncBeforeReply && this.#writeSequence > this.#syncedSequence) {
 			this.#held.push({sequence: this.#writeSequence, effect});
 			return;
 		}
@@ -832,10 +832,10 @@
 	#setTerm(term: number, vote: string): void {
 		this.#term = term;
 		this.#vote = vote;
-		this.#write(this.#mechanisms.hardStateKept ? [{type: 'hard', state: {term, vote}}] : []);
+		this.#write(this.#safeguards.persistHardState ? [{type: 'hard', state: {term, vote}}] : []);
 	}
 
-	#setRole(role: Role, leader: string): void {
+	#setRole(role: ReplicaRole, leader: string): void {
 		this.#role = role;
 		this.#leader = leader;
 		this.#effects.push({
@@ -848,14 +848,14 @@
 	}
 
 	#readConfiguration(): void {
-		const {index, configuration} = this.#log.findConfiguration();
+		const {index, configuration} = this.#log.findLatestConfiguration();
 		this.#configuration = configuration;
 		this.#configurationIndex = index;
 	}
 
 	#configurationAt(index: number): Configuration {
 		for (let at = index; at > this.#log.snapshot.index; at--) {
-			const entry = this.#log.entryAt(at);
+			const entry = this.#log.getEntry(at);
 			if (entry?.type === 'configuration') {
 				return entry.configuration;
 			}
@@ -886,7 +886,7 @@
 
 	#matchIndexOf(replica: string): number {
 		if (replica === this.id) {
-			return this.#mechanisms.syncBeforeReply ? this.#syncedIndex : this.#log.lastIndex;
+			return this.#safeguards.syncBeforeReply ? this.#syncedIndex : this.#log.lastIndex;
 		}
 
 		return this.#peers.get(replica)?.matchIndex ?? 0;
--- a/src/consensus/mechanisms.ts
+++ b/src/consensus/safeguards.ts
@@ -4,23 +4,23 @@
  *
  * @module
  */
-export const ALL_MECHANISMS = {
+export const ALL_SAFEGUARDS = {
 	/** A reply that a peer relies on waits until what it promises is synced. */
 	syncBeforeReply: true,
 	/** The term and the vote in it are kept on disk. */
-	hardStateKept: true,
+	persistHardState: true,
 	/** Only entries of the leader's own term are committed by counting replicas. */
-	ownTermCommit: true,
+	commitOwnTermOnly: true,
 	/** A replica that came back without its disk gets a new identity. */
-	identityOnDisk: true,
+	persistIdentity: true,
 	/** A read waits until a majority has confirmed the leader after it came in. */
-	readIndex: true,
+	confirmReads: true,
 	/** A new leader and a restarted follower respect the lease of the leader before. */
-	leaseRespected: true,
+	respectLease: true,
 	/** Voters change through a joint configuration. */
-	jointConfiguration: true,
+	useJointConfiguration: true,
 	/** An append whose previous entry does not match is refused. */
-	logMatching: true,
+	checkLogMatching: true,
 } as const satisfies Record<string, boolean>;
 
-export type Mechanisms = Readonly<Record<keyof typeof ALL_MECHANISMS, boolean>>;
+export type Safeguards = Readonly<Record<keyof typeof ALL_SAFEGUARDS, boolean>>;
--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -22,7 +22,7 @@
 import {decodeValue, encodeValue} from '../wire/frame.js';
 import type {HardState, LogRecord} from './replica.js';
 
-export type Image = {
+export type PersistentState = {
 	readonly hard: HardState;
 	readonly snapshot: Snapshot;
 	readonly entries: readonly Entry[];
@@ -30,10 +30,10 @@
 
 export type StorageOptions = {
 	/** Whether records that wait together share one sync. */
-	readonly batched?: boolean;
+	readonly batchWrites?: boolean;
 	readonly onSynced: (sequence: number) => void;
 	/** Called when a write failed; it is tried again until it succeeds, and nothing counts as synced meanwhile. */
-	readonly onFailed: (problem: Problem) => void;
+	readonly onWriteFailure: (problem: Problem) => void;
 };
 
 type OpenedGeneration = {
@@ -41,7 +41,7 @@
 	readonly file: FileHandle;
 	/** Bytes of the log that are whole. */
 	readonly length: number;
-	readonly image: Image;
+	readonly image: PersistentState;
 };
 
 type Batch = {
@@ -58,7 +58,7 @@
 export const EMPTY_SNAPSHOT: Snapshot = {
 	index: 0, term: 0, configuration: EMPTY_CONFIGURATION, data: new Uint8Array(),
 };
-export const EMPTY_IMAGE: Image = {hard: {term: 0, vote: ''}, snapshot: EMPTY_SNAPSHOT, entries: []};
+export const EMPTY_PERSISTENT_STATE: PersistentState = {hard: {term: 0, vote: ''}, snapshot: EMPTY_SNAPSHOT, entries: []};
 
 /**
  * Reads the replica's identity from its data folder, or makes one in an empty folder.
@@ -68,7 +68,7 @@
  * const identity = await readIdentity('/var/lib/carawayhoist'); // Either.right('6f1c…')
  * ```
  */
-export async function readIdentity(folder: string): Promise<Either.Either<Problem, string>> {
+export async function loadOrCreateIdentity(folder: string): Promise<Either.Either<Problem, string>> {
 	try {
 		await mkdir(folder, {recursive: true});
 		const file = path.join(folder, IDENTITY_FILE);
@@ -92,7 +92,7 @@
 	#generation: number;
 	#file: FileHandle;
 	#length: number;
-	#image: Image;
+	#image: PersistentState;
 	readonly #queue: Batch[] = [];
 	#writing: Promise<void> | undefined;
 	/** Whether a failed write may have left a part of a frame behind the whole ones. */
@@ -121,7 +121,7 @@
 			await mkdir(folder, {recursive: true});
 			const generation = await findGeneration(folder);
 			if (generation === 0) {
-				await writeGeneration(folder, 1, EMPTY_IMAGE);
+				await writeGeneration(folder, 1, EMPTY_PERSISTENT_STATE);
 			}
 
 			return await Storage.#load(folder, options, Math.max(1, generation));
@@ -147,7 +147,7 @@
 			return Either.left(createProblem('storageCorrupt', `snapshot-${generation}`));
 		}
 
-		let image: Image = {...EMPTY_IMAGE, snapshot: decodeValue(payload) as Snapshot};
+		let image: PersistentState = {...EMPTY_PERSISTENT_STATE, snapshot: decodeValue(payload) as Snapshot};
 		for (const frame of log.right.payloads) {
 			image = applyRecords(image, decodeValue(frame) as LogRecord[]);
 		}
@@ -163,7 +163,7 @@
 	}
 
 	/** What the files hold. */
-	get image(): Image {
+	get persistentState(): PersistentState {
 		return this.#image;
 	}
 
@@ -200,7 +200,7 @@
 				await this.#writeBatches(batches);
 				return true;
 			} catch (error) {
-				this.#options.onFailed(createProblem('storageFailed', String(error)));
+				this.#options.onWriteFailure(createProblem('storageFailed', String(error)));
 				if (this.#isClosing) {
 					return false;
 				}
@@ -212,7 +212,7 @@
 
 	/** Takes what can share one sync: everything up to a snapshot, which starts a new generation. */
 	#takeBatches(): Batch[] {
-		const limit = this.#options.batched === false ? 1 : this.#queue.length;
+		const limit = this.#options.batchWrites === false ? 1 : this.#queue.length;
 		const snapshotAt = this.#queue.findIndex(batch => hasSnapshot(batch));
 		const count = snapshotAt === -1 ? limit : Math.min(limit, Math.max(1, snapshotAt));
 		return this.#queue.splice(0, count);
@@ -239,7 +239,7 @@
 		this.#image = image;
 	}
 
-	async #startGeneration(image: Image): Promise<void> {
+	async #startGeneration(image: PersistentState): Promise<void> {
 		const generation = this.#generation + 1;
 		const length = await writeGeneration(this.#folder, generation, image);
 		const file = await open(path.join(this.#folder, `log-${generation}`), 'a');
@@ -261,7 +261,7 @@
  * applyRecords(EMPTY_IMAGE, [{type: 'hard', state: {term: 3, vote: 'a'}}]).hard.term; // 3
  * ```
  */
-export function applyRecords(image: Image, records: readonly LogRecord[]): Image {
+export function applyRecords(image: PersistentState, records: readonly LogRecord[]): PersistentState {
 	let {hard, snapshot} = image;
 	let entries = image.entries as Entry[];
 	for (const record of records) {
@@ -359,7 +359,7 @@
 	return Math.max(0, ...generations.map(Number));
 }
 
-async function writeGeneration(folder: string, generation: number, image: Image): Promise<number> {
+async function writeGeneration(folder: string, generation: number, image: PersistentState): Promise<number> {
 	const records: LogRecord[] = [
 		{type: 'hard', state: image.hard},
 		{type: 'entries', entries: image.entries},
--- a/src/control/bootstrap.ts
+++ b/src/control/bootstrap.ts
@@ -11,7 +11,7 @@
 	Configuration, Member, Peer, Welcome,
 } from '../generated/types.js';
 
-export type BootstrapAnswer = {
+export type BootstrapReply = {
 	readonly peer: Peer;
 	readonly welcome: Welcome;
 };
@@ -27,10 +27,10 @@
  * formConfiguration({host: 'a1', replica: '6f1c'}, [peer], []); // one voter
  * ```
  */
-export function formConfiguration(
+export function createInitialConfiguration(
 	self: {readonly host: string; readonly replica: string},
 	peers: readonly Peer[],
-	answers: readonly BootstrapAnswer[],
+	answers: readonly BootstrapReply[],
 ): Configuration | undefined {
 	if (peers[0]?.host !== self.host || answers.some(answer => answer.welcome.configuration)) {
 		return undefined;
@@ -61,10 +61,10 @@
  * adoptConfiguration('6f1c', peers, answers)?.voters.length; // 3
  * ```
  */
-export function adoptConfiguration(
+export function findInitialConfiguration(
 	replica: string,
 	peers: readonly Peer[],
-	answers: readonly BootstrapAnswer[],
+	answers: readonly BootstrapReply[],
 ): Configuration | undefined {
 	const configuration = answers.find(answer => answer.peer.host === peers[0]?.host)?.welcome.configuration;
 	const isVoter = configuration?.voters.some(member => member.replica === replica) ?? false;
--- a/src/control/client.ts
+++ b/src/control/client.ts
@@ -8,34 +8,34 @@
 import {pause, type Clock} from '../base/clock.js';
 import {createProblem, findProblemName, type Problem} from '../base/problem.js';
 import type {
-	Command, Listing, Member, Members, MembersReply, Message, Proposed, Refused, Renew, Renewed,
+	Command, ReadReply, Member, MembersRequest, MembersReply, Message, ProposeReply, RefusalReply, RenewRequest, RenewReply,
 } from '../generated/types.js';
 import {connect, type Address, type Connection} from '../wire/connection.js';
 
-type Reply = Proposed | Refused | Renewed | Listing | MembersReply;
+type Reply = ProposeReply | RefusalReply | RenewReply | ReadReply | MembersReply;
 type Distribute<Union, Key extends PropertyKey> = Union extends unknown ? Omit<Union, Key> : never;
 type Question = Distribute<
 	| {type: 'propose'; id: number; command: Command}
 	| {type: 'read'; id: number; from: number}
-	| Renew
-	| Members,
+	| RenewRequest
+	| MembersRequest,
 	'id'>;
 
-export type ClientOptions = {
+export type ControlClientOptions = {
 	/** Control hosts to start from. */
 	readonly seeds: readonly Address[];
 	readonly clock: Clock;
 	/** Called for a view that the leader sends on its own. */
-	readonly onPushed: (message: Renewed) => void;
+	readonly onViewPushed: (message: RenewReply) => void;
 };
 
 const ANSWER_TIMEOUT_MS = 1000;
 const RETRY_PAUSE_MS = 60;
-export const DEFAULT_DEADLINE_MS = 5000;
+export const DEFAULT_TIMEOUT_MS = 5000;
 
 /** A client of the control hosts. Whoever created it closes it. */
 export class ControlClient {
-	readonly #options: ClientOptions;
+	readonly #options: ControlClientOptions;
 	readonly #waiting = new Map<number, (reply: Reply | undefined) => void>();
 	#targets: Address[];
 	#target = 0;
@@ -45,7 +45,7 @@
 	#generation = 0;
 	#isClosed = false;
 
-	constructor(options: ClientOptions) {
+	constructor(options: ControlClientOptions) {
 		this.#options = options;
 		this.#targets = [...options.seeds];
 	}
@@ -72,21 +72,21 @@
 	 * const result = await client.propose(command)();
 	 * ```
 	 */
-	propose(command: Command, deadlineMs = DEFAULT_DEADLINE_MS): TaskEither<Problem, Proposed> {
+	propose(command: Command, deadlineMs = DEFAULT_TIMEOUT_MS): TaskEither<Problem, ProposeReply> {
 		return this.#ask({type: 'propose', command}, 'proposed', deadlineMs);
 	}
 
 	/** Reads all that has changed since a version, as of now: a majority confirms it. */
-	read(from: number, deadlineMs = DEFAULT_DEADLINE_MS): TaskEither<Problem, Listing> {
+	readResources(from: number, deadlineMs = DEFAULT_TIMEOUT_MS): TaskEither<Problem, ReadReply> {
 		return this.#ask({type: 'read', from}, 'listing', deadlineMs);
 	}
 
-	renew(message: Omit<Renew, 'id'>, deadlineMs = ANSWER_TIMEOUT_MS): TaskEither<Problem, Renewed> {
+	renewViewLease(message: Omit<RenewRequest, 'id'>, deadlineMs = ANSWER_TIMEOUT_MS): TaskEither<Problem, RenewReply> {
 		return this.#ask(message, 'renewed', deadlineMs);
 	}
 
-	members(message: Omit<Members, 'id'>): TaskEither<Problem, MembersReply> {
-		return this.#ask(message, 'members-reply', DEFAULT_DEADLINE_MS);
+	manageMembers(message: Omit<MembersRequest, 'id'>): TaskEither<Problem, MembersReply> {
+		return this.#ask(message, 'members-reply', DEFAULT_TIMEOUT_MS);
 	}
 
 	close(): void {
@@ -160,7 +160,7 @@
 		switch (message.type) {
 			case 'renewed': {
 				if (message.id === 0) {
-					this.#options.onPushed(message);
+					this.#options.onViewPushed(message);
 					return;
 				}
 
@@ -183,7 +183,7 @@
 	}
 
 	/** Turns to the leader that was named, or to the next control host; a silent connection is left behind. */
-	#turn(refusal: Refused | undefined, generation: number): void {
+	#turn(refusal: RefusalReply | undefined, generation: number): void {
 		if (generation !== this.#generation) {
 			return;
 		}
@@ -201,7 +201,7 @@
 		this.#failWaiting();
 	}
 
-	#findNext(refusal: Refused | undefined): number {
+	#findNext(refusal: RefusalReply | undefined): number {
 		if (!refusal?.leader) {
 			return (this.#target + 1) % this.#targets.length;
 		}
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type {
-	Action, Announcement, Change, Command, ModelDemand, Policy, Renew, Resource,
+	OrderAction, Announcement, ChangeSpecification, Command, ModelDemand, PolicySpecification, RenewRequest, Resource,
 } from '../generated/types.js';
 import type {EngineRole} from '../routing/choice.js';
 import {
@@ -13,11 +13,11 @@
 } from '../routing/roles.js';
 import {QUARANTINE_PREFIX} from './ledger.js';
 import {
-	excludesServer, PHASES, type ControlState, type OpenOrder,
+	excludesServer, CHANGE_PHASES, type ControlState, type OpenOrder,
 } from './state.js';
 
 /** Name of the policy resource that the choice of roles follows. */
-export const ROLE_POLICY = 'roles';
+export const ROLE_POLICY_NAME = 'roles';
 const AUTOMATIC_PREFIX = 'auto-';
 const AUTOMATIC_RETENTION_MS = 3_600_000;
 const ROLE_TICK_MS = 1000;
@@ -28,29 +28,29 @@
 	/** Longest time between the write of an order and its arrival. */
 	readonly orderTransitMs: number;
 	/** Length of a leader's authority, with clock drift. */
-	readonly authorityMs: number;
+	readonly leaderLeaseMs: number;
 	/** How long a claim outlives the lease of the host that holds it. */
 	readonly claimGraceMs: number;
 	/** Pause between two tries at the same order. */
 	readonly orderRetryMs: number;
 	/** After this silence a server counts as gone. */
-	readonly serverSilenceMs: number;
+	readonly serverTimeoutMs: number;
 	/** Shortest time between the last order of one leader and the first of the next, whatever the lease says. */
-	readonly successionMs: number;
+	readonly minTakeoverMs: number;
 };
 
 export const DEFAULT_CONTROLLER_TIMING: ControllerTiming = {
 	viewLeaseMs: 1500,
 	orderTransitMs: 1000,
-	authorityMs: 700,
+	leaderLeaseMs: 700,
 	claimGraceMs: 2000,
 	orderRetryMs: 1000,
-	serverSilenceMs: 5000,
-	successionMs: 0,
+	serverTimeoutMs: 5000,
+	minTakeoverMs: 0,
 };
 
 /** An order as it goes to a backend server. */
-export type OrderSend = {
+export type SendOrderEffect = {
 	readonly type: 'send-order';
 	readonly server: Announcement;
 	readonly order: OpenOrder;
@@ -60,9 +60,9 @@
 
 export type ControllerEffect
 	= | {readonly type: 'propose'; readonly command: Command}
-		| OrderSend
+		| SendOrderEffect
 		| {
-			readonly type: 'read-back';
+			readonly type: 'query-order';
 			readonly server: Announcement;
 			readonly order: OpenOrder;
 			/** Whether this leader issued it: nobody else can have sent it. */
@@ -98,7 +98,7 @@
 	triedMs: number;
 };
 
-export type Authority = {
+export type LeaseClock = {
 	readonly nowMs: number;
 	readonly wallMs: number;
 	/** Until when this process is surely the only leader. */
@@ -106,22 +106,22 @@
 };
 
 /** Which safeguards of orders are on; the daemon has all of them. */
-export type OrderMechanisms = {
-	readonly waitOutLease: boolean;
-	readonly awaitViews: boolean;
-	readonly readBack: boolean;
+export type OrderSafeguards = {
+	readonly awaitLeaseExpiry: boolean;
+	readonly awaitViewAcknowledgements: boolean;
+	readonly queryBeforeResend: boolean;
 	/** Whether a server must run nothing before it is ordered; off where servers finish running work by themselves. */
-	readonly awaitQuiet: boolean;
+	readonly awaitIdle: boolean;
 };
 
-export const ALL_ORDER_MECHANISMS: OrderMechanisms = {
-	waitOutLease: true, awaitViews: true, readBack: true, awaitQuiet: true,
+export const ALL_ORDER_SAFEGUARDS: OrderSafeguards = {
+	awaitLeaseExpiry: true, awaitViewAcknowledgements: true, queryBeforeResend: true, awaitIdle: true,
 };
 
 /** The duties of one term of leadership; created when a replica becomes leader, dropped when it stops. */
 export class Controller {
 	readonly #timing: ControllerTiming;
-	readonly #mechanisms: OrderMechanisms;
+	readonly #safeguards: OrderSafeguards;
 	readonly #electedMs: number;
 	readonly #sessions = new Map<string, Session>();
 	readonly #sightings = new Map<string, Sighting>();
@@ -135,10 +135,10 @@
 	readonly #issued = new Set<string>();
 	#nextRoleMs = 0;
 
-	constructor(electedMs: number, timing = DEFAULT_CONTROLLER_TIMING, mechanisms = ALL_ORDER_MECHANISMS) {
+	constructor(electedMs: number, timing = DEFAULT_CONTROLLER_TIMING, mechanisms = ALL_ORDER_SAFEGUARDS) {
 		this.#electedMs = electedMs;
 		this.#timing = timing;
-		this.#mechanisms = mechanisms;
+		this.#safeguards = mechanisms;
 		this.#loads = new TokenBucket({perSecond: 1, burst: 2}, electedMs);
 	}
 
@@ -148,9 +148,9 @@
 	}
 
 	/** Renews an entry host's view lease and returns its length in milliseconds. */
-	renew(message: Renew, nowMs: number): number {
+	renewViewLease(message: RenewRequest, nowMs: number): number {
 		for (const announcement of message.announcements ?? []) {
-			this.see(announcement, nowMs);
+			this.observe(announcement, nowMs);
 		}
 
 		this.#demands.set(message.host, message.demand ?? []);
@@ -170,15 +170,15 @@
 	}
 
 	/** Takes an announcement of a server, which tells where orders go. */
-	see(announcement: Announcement, nowMs: number): void {
+	observe(announcement: Announcement, nowMs: number): void {
 		const known = this.#sightings.get(announcement.server)?.announcement;
-		if (!known || isNewer(announcement, known)) {
+		if (!known || isNewerAnnouncement(announcement, known)) {
 			this.#sightings.set(announcement.server, {announcement, atMs: nowMs});
 		}
 	}
 
 	/** Notes what became of an order; what follows from it comes with the next tick. */
-	report(report: OrderReport, authority: Authority): ControllerEffect[] {
+	handleReport(report: OrderReport, authority: LeaseClock): ControllerEffect[] {
 		const attempt = this.#attempts.get(report.server);
 		if (attempt?.order !== report.order) {
 			return [];
@@ -212,7 +212,7 @@
 	}
 
 	/** Looks at everything once and returns what is due. */
-	tick(state: ControlState, authority: Authority): ControllerEffect[] {
+	tick(state: ControlState, authority: LeaseClock): ControllerEffect[] {
 		return [
 			...this.#tickChanges(state, authority),
 			...this.#tickOrders(state, authority),
@@ -221,7 +221,7 @@
 	}
 
 	/** Decides at most one role change: as the operators have declared, or by itself if they have asked for that. */
-	tickRoles(state: ControlState, engines: readonly Announcement[], authority: Authority): ControllerEffect[] {
+	planRoleChanges(state: ControlState, engines: readonly Announcement[], authority: LeaseClock): ControllerEffect[] {
 		if (authority.nowMs < this.#nextRoleMs) {
 			return [];
 		}
@@ -232,7 +232,7 @@
 			return [{type: 'propose', command: declared}];
 		}
 
-		const policy = state.find('policy', ROLE_POLICY)?.specification as Policy | undefined;
+		const policy = state.findResource('policy', ROLE_POLICY_NAME)?.specification as PolicySpecification | undefined;
 		if (!policy?.automaticRoles) {
 			return [];
 		}
@@ -249,7 +249,7 @@
 	}
 
 	/** An engine resource says which role its engine should play. */
-	#followDeclaredRole(state: ControlState, engines: readonly Announcement[], authority: Authority): Command | undefined {
+	#followDeclaredRole(state: ControlState, engines: readonly Announcement[], authority: LeaseClock): Command | undefined {
 		for (const {name, version, specification} of state.listResources()) {
 			const announced = specification.kind === 'engine' ? engines.find(({server}) => server === name) : undefined;
 			if (specification.kind !== 'engine' || !announced || announced.role === specification.role) {
@@ -257,7 +257,7 @@
 			}
 
 			const change = `declared-${name}-${version}`;
-			const earlier = state.find('change', change);
+			const earlier = state.findResource('change', change);
 			const isChanging = state.listResources().some(resource => excludesServer(resource, name));
 			if (!earlier && !isChanging) {
 				return createRoleChange(change, {server: name, role: specification.role, reason: 'the operators declared that role'}, authority);
@@ -267,9 +267,9 @@
 		return undefined;
 	}
 
-	#choosePoolChange(state: ControlState, pool: readonly Announcement[], profile: RoleProfile, authority: Authority): Command | undefined {
+	#choosePoolChange(state: ControlState, pool: readonly Announcement[], profile: RoleProfile, authority: LeaseClock): Command | undefined {
 		const key = poolKey(pool[0]!);
-		const isChanging = state.listOpenChanges().some(change => pool.some(({server}) => server === (change.specification as Change).server));
+		const isChanging = state.listOpenChanges().some(change => pool.some(({server}) => server === (change.specification as ChangeSpecification).server));
 		if (isChanging) {
 			return undefined;
 		}
@@ -296,9 +296,9 @@
 	}
 
 	/** Automatic changes leave a trace for a while, then make room. */
-	#forgetOldChanges(state: ControlState, authority: Authority): ControllerEffect[] {
+	#forgetOldChanges(state: ControlState, authority: LeaseClock): ControllerEffect[] {
 		const old = state.listResources().find(({name, status}) => name.startsWith(AUTOMATIC_PREFIX)
-			&& (status?.phase === PHASES.done || status?.phase === PHASES.failed)
+			&& (status?.phase === CHANGE_PHASES.done || status?.phase === CHANGE_PHASES.failed)
 			&& authority.wallMs - (status.history.at(-1)?.at ?? 0) > AUTOMATIC_RETENTION_MS);
 		return old
 			? [{
@@ -310,7 +310,7 @@
 			: [];
 	}
 
-	#tickChanges(state: ControlState, authority: Authority): ControllerEffect[] {
+	#tickChanges(state: ControlState, authority: LeaseClock): ControllerEffect[] {
 		const effects: ControllerEffect[] = [];
 		for (const resource of state.listOpenChanges()) {
 			const command = this.#advance(resource, state, authority);
@@ -322,18 +322,18 @@
 		return effects;
 	}
 
-	#advance(resource: Resource, state: ControlState, authority: Authority): Command | undefined {
-		const change = resource.specification as Change;
-		if (resource.status?.phase === PHASES.draining) {
+	#advance(resource: Resource, state: ControlState, authority: LeaseClock): Command | undefined {
+		const change = resource.specification as ChangeSpecification;
+		if (resource.status?.phase === CHANGE_PHASES.draining) {
 			const note = this.#describeDrained(resource, change, authority.nowMs);
 			return note === undefined
 				? undefined
 				: {
-					type: 'advance', at: authority.wallMs, change: resource.name, from: PHASES.draining, phase: PHASES.drained, note,
+					type: 'advance', at: authority.wallMs, change: resource.name, from: CHANGE_PHASES.draining, phase: CHANGE_PHASES.drained, note,
 				};
 		}
 
-		if (resource.status?.phase !== PHASES.drained || change.action === 'drain') {
+		if (resource.status?.phase !== CHANGE_PHASES.drained || change.action === 'drain') {
 			return undefined;
 		}
 
@@ -350,19 +350,19 @@
 	}
 
 	/** Returns the story's next sentence once nothing runs at the server and nobody can send there any more. */
-	#describeDrained(resource: Resource, change: Change, nowMs: number): string | undefined {
-		const isSettled = nowMs - this.#electedMs >= this.#timing.viewLeaseMs || !this.#mechanisms.awaitViews;
+	#describeDrained(resource: Resource, change: ChangeSpecification, nowMs: number): string | undefined {
+		const isSettled = nowMs - this.#electedMs >= this.#timing.viewLeaseMs || !this.#safeguards.awaitViewAcknowledgements;
 		if (!isSettled) {
 			return undefined;
 		}
 
 		const live = [...this.#sessions.values()].filter(session => session.leaseUntilMs > nowMs);
 		const isUnseen = live.some(session => session.version < resource.version || (session.running.get(change.server) ?? 0) > 0);
-		if (isUnseen && this.#mechanisms.awaitViews) {
+		if (isUnseen && this.#safeguards.awaitViewAcknowledgements) {
 			return undefined;
 		}
 
-		if (this.#mechanisms.awaitQuiet && !this.#isQuiet(resource.name, change.server, nowMs)) {
+		if (this.#safeguards.awaitIdle && !this.#isQuiet(resource.name, change.server, nowMs)) {
 			return undefined;
 		}
 
@@ -373,9 +373,9 @@
 	/** Load reports lag: only reports made after the last entry host stopped count. */
 	#isQuiet(name: string, server: string, nowMs: number): boolean {
 		const sighting = this.#sightings.get(server);
-		if (!sighting || nowMs - sighting.atMs > this.#timing.serverSilenceMs) {
+		if (!sighting || nowMs - sighting.atMs > this.#timing.serverTimeoutMs) {
 			// A server that has been silent for long runs nothing that could be cut by waiting less.
-			return nowMs - this.#electedMs >= this.#timing.serverSilenceMs;
+			return nowMs - this.#electedMs >= this.#timing.serverTimeoutMs;
 		}
 
 		const {sequence, incarnation, load} = sighting.announcement;
@@ -389,7 +389,7 @@
 		return isLate && (load?.running ?? 0) === 0 && (load?.waiting ?? 0) === 0;
 	}
 
-	#tickOrders(state: ControlState, authority: Authority): ControllerEffect[] {
+	#tickOrders(state: ControlState, authority: LeaseClock): ControllerEffect[] {
 		const effects: ControllerEffect[] = [];
 		for (const order of state.listOpenOrders()) {
 			const effect = this.#driveOrder(order, authority);
@@ -401,7 +401,7 @@
 		return effects;
 	}
 
-	#driveOrder(order: OpenOrder, {nowMs, leaseUntilMs}: Authority): ControllerEffect | undefined {
+	#driveOrder(order: OpenOrder, {nowMs, leaseUntilMs}: LeaseClock): ControllerEffect | undefined {
 		const sighting = this.#sightings.get(order.server);
 		if (!sighting) {
 			return undefined;
@@ -414,10 +414,10 @@
 		}
 
 		// An order whose sending is not remembered may have gone out: from another leader, or without an answer.
-		if (attempt.state !== 'unsent' && this.#mechanisms.readBack) {
+		if (attempt.state !== 'unsent' && this.#safeguards.queryBeforeResend) {
 			attempt.triedMs = nowMs;
 			return {
-				type: 'read-back', server, order, isOwn: this.#issued.has(order.change),
+				type: 'query-order', server, order, isOwn: this.#issued.has(order.change),
 			};
 		}
 
@@ -427,7 +427,7 @@
 		}
 
 		const notAfterMs = checksFence ? Number.POSITIVE_INFINITY : leaseUntilMs - (this.#timing.orderTransitMs / 4);
-		if (this.#mechanisms.waitOutLease && nowMs >= notAfterMs) {
+		if (this.#safeguards.awaitLeaseExpiry && nowMs >= notAfterMs) {
 			return undefined;
 		}
 
@@ -440,8 +440,8 @@
 
 	/** The predecessor's authority, and any order it wrote at the end of it, are over. */
 	#hasWaitedOut(nowMs: number): boolean {
-		const waitMs = Math.max(this.#timing.authorityMs + this.#timing.orderTransitMs, this.#timing.successionMs);
-		return !this.#mechanisms.waitOutLease || nowMs - this.#electedMs >= waitMs;
+		const waitMs = Math.max(this.#timing.leaderLeaseMs + this.#timing.orderTransitMs, this.#timing.minTakeoverMs);
+		return !this.#safeguards.awaitLeaseExpiry || nowMs - this.#electedMs >= waitMs;
 	}
 
 	#attemptOf(order: OpenOrder): Attempt {
@@ -455,14 +455,14 @@
 		return attempt;
 	}
 
-	#tickClaims(state: ControlState, {nowMs, wallMs}: Authority): ControllerEffect[] {
+	#tickClaims(state: ControlState, {nowMs, wallMs}: LeaseClock): ControllerEffect[] {
 		const graceMs = this.#timing.viewLeaseMs + this.#timing.claimGraceMs;
 		if (nowMs - this.#electedMs < graceMs) {
 			return [];
 		}
 
 		const effects: ControllerEffect[] = [];
-		for (const record of state.ledger.listOpen()) {
+		for (const record of state.ledger.listOpenClaims()) {
 			const session = this.#sessions.get(record.host);
 			const isHeld = session !== undefined && record.attempt.startsWith(session.boot)
 				&& session.leaseUntilMs + this.#timing.claimGraceMs > nowMs;
@@ -533,7 +533,7 @@
  * isNewer({...announcement, sequence: 8}, {...announcement, sequence: 7}); // true
  * ```
  */
-export function isNewer(candidate: Announcement, known: Announcement): boolean {
+export function isNewerAnnouncement(candidate: Announcement, known: Announcement): boolean {
 	if (candidate.incarnation !== known.incarnation) {
 		return candidate.incarnation > known.incarnation;
 	}
@@ -550,7 +550,7 @@
  * createRoleChange('stage-e3-1', {server: 'e3', role: 'prefill', reason: 'cold caches'}, authority);
  * ```
  */
-export function createRoleChange(name: string, change: {readonly server: string; readonly role: EngineRole; readonly reason: string}, authority: Authority): Command {
+export function createRoleChange(name: string, change: {readonly server: string; readonly role: EngineRole; readonly reason: string}, authority: LeaseClock): Command {
 	const {server, role, reason} = change;
 	return {
 		type: 'put',
@@ -579,7 +579,7 @@
 	return [...pools.values()];
 }
 
-function planOrder(change: Change): {readonly server: string; readonly action: Action} {
+function planOrder(change: ChangeSpecification): {readonly server: string; readonly action: OrderAction} {
 	switch (change.action) {
 		case 'role': {
 			return {server: change.server, action: {type: 'role', role: change.role ?? 'mixed'}};
@@ -591,7 +591,7 @@
 
 		case 'replace': {
 			const server = change.replacement ?? change.server;
-			const action: Action = change.model === undefined
+			const action: OrderAction = change.model === undefined
 				? {type: 'resume'}
 				: {type: 'load', model: change.model, modelVersion: change.modelVersion};
 			return {server, action};
--- a/src/control/ledger.ts
+++ b/src/control/ledger.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type {
-	Answer, Claim, LedgerAnswer, Settle,
+	StoredResponse, ClaimCommand, LedgerOutcome, SettleCommand,
 } from '../generated/types.js';
 
 export const LEDGER_STATES = {
@@ -20,15 +20,15 @@
 	readonly state: LedgerState;
 	readonly claimedAtMs: number;
 	readonly settledAtMs: number;
-	readonly answer?: Answer;
+	readonly answer?: StoredResponse;
 };
 
-export type LedgerImage = {
+export type LedgerSnapshot = {
 	readonly records: readonly LedgerRecord[];
 	readonly abandoned: ReadonlyArray<readonly [string, number]>;
 };
 
-const EMPTY_LEDGER: LedgerImage = {records: [], abandoned: []};
+const EMPTY_LEDGER: LedgerSnapshot = {records: [], abandoned: []};
 /** How long an outcome is kept and a key is not run again, milliseconds. */
 export const LEDGER_RETENTION_MS = 24 * 60 * 60 * 1000;
 /** Most records held; a claim beyond it is refused rather than an outcome forgotten. */
@@ -43,7 +43,7 @@
 	readonly #records = new Map<string, LedgerRecord>();
 	readonly #abandoned = new Map<string, number>();
 
-	constructor(image: LedgerImage = EMPTY_LEDGER, claimBeforeSend = true) {
+	constructor(image: LedgerSnapshot = EMPTY_LEDGER, claimBeforeSend = true) {
 		this.#claimBeforeSend = claimBeforeSend;
 		for (const record of image.records) {
 			this.#records.set(record.key, record);
@@ -63,12 +63,12 @@
 	}
 
 	/** Claims that nobody has settled. */
-	listOpen(): LedgerRecord[] {
+	listOpenClaims(): LedgerRecord[] {
 		return [...this.#records.values()].filter(record => record.state === LEDGER_STATES.claimed);
 	}
 
 	/** Grants the key to an attempt, or tells what became of it. */
-	claim(command: Claim): LedgerAnswer {
+	claim(command: ClaimCommand): LedgerOutcome {
 		const known = this.#records.get(command.key);
 		if (this.#abandoned.has(command.attempt)) {
 			return createAnswer('not-run', command.attempt, command.host);
@@ -91,7 +91,7 @@
 	}
 
 	/** Records how an attempt ended. What is done stays done; an unknown end may still become known. */
-	settle(command: Settle): LedgerAnswer {
+	settle(command: SettleCommand): LedgerOutcome {
 		const known = this.#records.get(command.key);
 		if (known?.attempt !== command.attempt) {
 			if (command.outcome === 'not-run') {
@@ -119,7 +119,7 @@
 	}
 
 	/** Forgets what has been settled for longer than the retention. */
-	expire(nowMs: number): void {
+	removeExpired(nowMs: number): void {
 		for (const [key, record] of this.#records) {
 			const age = nowMs - record.settledAtMs;
 			if (record.state !== LEDGER_STATES.claimed && age < LEDGER_RETENTION_MS) {
@@ -140,11 +140,11 @@
 		}
 	}
 
-	save(): LedgerImage {
+	createSnapshot(): LedgerSnapshot {
 		return {records: [...this.#records.values()], abandoned: [...this.#abandoned]};
 	}
 
-	#mayRunAgain(known: LedgerRecord, command: Claim): boolean {
+	#mayRunAgain(known: LedgerRecord, command: ClaimCommand): boolean {
 		if (!this.#claimBeforeSend) {
 			return known.state === LEDGER_STATES.claimed;
 		}
@@ -152,7 +152,7 @@
 		return known.state === LEDGER_STATES['not-run'] && known.attempt !== command.attempt;
 	}
 
-	#grant(command: Claim): LedgerAnswer {
+	#grant(command: ClaimCommand): LedgerOutcome {
 		if (this.#records.size >= MAX_LEDGER_RECORDS) {
 			return createAnswer('not-run', command.attempt, command.host);
 		}
@@ -176,7 +176,7 @@
 	}
 }
 
-function createAnswer(state: LedgerAnswer['state'], attempt: string, host: string, answer?: Answer): LedgerAnswer {
+function createAnswer(state: LedgerOutcome['state'], attempt: string, host: string, answer?: StoredResponse): LedgerOutcome {
 	return answer === undefined
 		? {
 			type: 'ledger', state, attempt, host,
--- a/src/control/metrics.ts
+++ b/src/control/metrics.ts
@@ -7,16 +7,16 @@
 
 export type ControlMetrics = {
 	readonly publications: Counter<'outcome'>;
-	readonly reads: Counter<'outcome'>;
+	readonly publicationReads: Counter<'outcome'>;
 	readonly announcements: Counter<'outcome'>;
-	readonly placements: Counter<'decision'>;
+	readonly placementDecisions: Counter<'decision'>;
 	readonly roleChanges: Counter<'role'>;
-	readonly placed: Gauge;
-	readonly servers: Gauge;
-	readonly subscribers: Gauge;
-	readonly leads: Gauge;
-	readonly majority: Gauge;
-	readonly version: Gauge;
+	readonly openPlacements: Gauge;
+	readonly usableServers: Gauge;
+	readonly feedEntryHosts: Gauge;
+	readonly isLeader: Gauge;
+	readonly hasMajority: Gauge;
+	readonly publicationVersion: Gauge;
 };
 
 /**
@@ -34,23 +34,23 @@
 		publications: new Counter({
 			name: 'carawayhoist_publications_total', help: 'Publications that operators sent, by outcome.', labelNames: ['outcome'], registers,
 		}),
-		reads: new Counter({
+		publicationReads: new Counter({
 			name: 'carawayhoist_publication_reads_total', help: 'Reads of the publication, by outcome.', labelNames: ['outcome'], registers,
 		}),
 		announcements: new Counter({
 			name: 'carawayhoist_announcements_total', help: 'Announcements of backend servers, by what they changed.', labelNames: ['outcome'], registers,
 		}),
-		placements: new Counter({
+		placementDecisions: new Counter({
 			name: 'carawayhoist_placing_decisions_total', help: 'Streamed requests that were placed or rejected here.', labelNames: ['decision'], registers,
 		}),
 		roleChanges: new Counter({
 			name: 'carawayhoist_role_changes_total', help: 'Role changes planned here, by the new role.', labelNames: ['role'], registers,
 		}),
-		placed: new Gauge({name: 'carawayhoist_placed_open', help: 'Streamed requests placed here that have not ended.', registers}),
-		servers: new Gauge({name: 'carawayhoist_servers_usable', help: 'Backend servers that take new work.', registers}),
-		subscribers: new Gauge({name: 'carawayhoist_feed_entry_hosts', help: 'Entry hosts that are fed from here.', registers}),
-		leads: new Gauge({name: 'carawayhoist_leads', help: '1 on the host that leads the log and may order engines.', registers}),
-		majority: new Gauge({name: 'carawayhoist_has_majority', help: '1 while a majority of the control hosts is in touch.', registers}),
-		version: new Gauge({name: 'carawayhoist_publication_version', help: 'Version of the publication applied here.', registers}),
+		openPlacements: new Gauge({name: 'carawayhoist_placed_open', help: 'Streamed requests placed here that have not ended.', registers}),
+		usableServers: new Gauge({name: 'carawayhoist_servers_usable', help: 'Backend servers that take new work.', registers}),
+		feedEntryHosts: new Gauge({name: 'carawayhoist_feed_entry_hosts', help: 'Entry hosts that are fed from here.', registers}),
+		isLeader: new Gauge({name: 'carawayhoist_leads', help: '1 on the host that leads the log and may order engines.', registers}),
+		hasMajority: new Gauge({name: 'carawayhoist_has_majority', help: '1 while a majority of the control hosts is in touch.', registers}),
+		publicationVersion: new Gauge({name: 'carawayhoist_publication_version', help: 'Version of the publication applied here.', registers}),
 	};
 }
--- a/src/control/order.ts
+++ b/src/control/order.ts
@@ -11,14 +11,14 @@
 import net from 'node:net';
 import type {Clock} from '../base/clock.js';
 import type {Announcement} from '../generated/types.js';
-import type {OrderReport, OrderSend} from './controller.js';
+import type {OrderReport, SendOrderEffect} from './controller.js';
 import type {OpenOrder} from './state.js';
 
 const ORDER_TIMEOUT_MS = 800;
 const MAX_REPLY_BYTES = 65_536;
 const HTTP_CONFLICT = 409;
 
-export type Reply = {
+export type OrderReply = {
 	readonly status: number;
 	readonly body: {
 		readonly order?: number;
@@ -37,31 +37,31 @@
 };
 
 /** How orders reach backend servers. */
-export interface OrderPort {
+export interface OrderTransport {
 	/** Sends an order, unless its time has passed; never fails, says what is known. */
-	send(effect: OrderSend): Promise<OrderReport>;
+	send(effect: SendOrderEffect): Promise<OrderReport>;
 	/**
 	 * Asks what became of an order.
 	 *
 	 * @param isOwn - Whether nobody else can have sent it.
 	 */
-	readBack(server: Announcement, order: OpenOrder, isOwn: boolean): Promise<OrderReport>;
+	queryOrder(server: Announcement, order: OpenOrder, isOwn: boolean): Promise<OrderReport>;
 }
 
 /** Orders in the project's own form. */
-export class HttpOrders implements OrderPort {
+export class HttpOrderTransport implements OrderTransport {
 	readonly #clock: Clock;
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
 	}
 
-	async send(effect: OrderSend): Promise<OrderReport> {
+	async send(effect: SendOrderEffect): Promise<OrderReport> {
 		return sendOrder(effect, this.#clock);
 	}
 
-	async readBack(server: Announcement, order: OpenOrder): Promise<OrderReport> {
-		return readBack(server, order);
+	async queryOrder(server: Announcement, order: OpenOrder): Promise<OrderReport> {
+		return queryOrder(server, order);
 	}
 }
 
@@ -73,9 +73,9 @@
  * const report = await sendOrder(effect, clock);
  * ```
  */
-export async function sendOrder(effect: OrderSend, clock: Clock): Promise<OrderReport> {
+export async function sendOrder(effect: SendOrderEffect, clock: Clock): Promise<OrderReport> {
 	const {server, order, notAfterMs} = effect;
-	const reply = await exchange(server, {
+	const reply = await sendHttpRequest(server, {
 		method: 'POST',
 		path: '/orders',
 		body: JSON.stringify({order: order.order, ...order.action}),
@@ -93,14 +93,14 @@
  * report.type; // 'done', 'running', 'absent', 'failed' or 'lost'
  * ```
  */
-export async function readBack(server: Announcement, order: OpenOrder): Promise<OrderReport> {
-	const reply = await exchange(server, {
+export async function queryOrder(server: Announcement, order: OpenOrder): Promise<OrderReport> {
+	const reply = await sendHttpRequest(server, {
 		method: 'GET', path: '/orders', body: '', mayWrite: () => true,
 	});
 	return describeReply(reply, order);
 }
 
-function describeReply(reply: Reply | undefined, {server, order}: OpenOrder): OrderReport {
+function describeReply(reply: OrderReply | undefined, {server, order}: OpenOrder): OrderReport {
 	if (!reply) {
 		return {type: 'lost', server, order};
 	}
@@ -150,10 +150,10 @@
  * const reply = await exchange(server, {method: 'GET', path: '/orders', body: '', mayWrite: () => true});
  * ```
  */
-export async function exchange(server: Announcement, request: OrderRequest): Promise<Reply | undefined> {
+export async function sendHttpRequest(server: Announcement, request: OrderRequest): Promise<OrderReply | undefined> {
 	const socket = net.connect({host: server.address, port: server.port});
 	const timer = setTimeout(() => socket.destroy(), ORDER_TIMEOUT_MS);
-	const reply = await new Promise<Reply | undefined>(resolve => {
+	const reply = await new Promise<OrderReply | undefined>(resolve => {
 		socket.once('error', () => {
 			resolve(undefined);
 		});
@@ -174,7 +174,7 @@
 	return reply;
 }
 
-function writeRequest(socket: net.Socket, request: OrderRequest, resolve: (reply: Reply | undefined) => void): void {
+function writeRequest(socket: net.Socket, request: OrderRequest, resolve: (reply: OrderReply | undefined) => void): void {
 	const outgoing = http.request({
 		createConnection: () => socket,
 		method: request.method,
@@ -202,9 +202,9 @@
 	outgoing.end(request.body);
 }
 
-function parseReply(status: number, text: string): Reply | undefined {
+function parseReply(status: number, text: string): OrderReply | undefined {
 	try {
-		return {status, body: text === '' ? {} : JSON.parse(text) as Reply['body']};
+		return {status, body: text === '' ? {} : JSON.parse(text) as OrderReply['body']};
 	} catch {
 		return undefined;
 	}
--- a/src/control/members.ts
+++ b/src/control/reconfiguration.ts
@@ -11,21 +11,21 @@
 import type {Configuration, Member} from '../generated/types.js';
 
 /** A change of members under way. */
-export type Repair = {
+export type Reconfiguration = {
 	readonly add?: Member;
 	readonly remove?: string;
 };
 
-export type MemberProgress = {
+export type ReplicationProgress = {
 	readonly matchIndex: number;
 	readonly alive: boolean;
 };
 
-export type MembersView = {
+export type ConfigurationStatus = {
 	readonly configuration: Configuration;
 	readonly isCommitted: boolean;
 	readonly commitIndex: number;
-	readonly progressOf: (replica: string) => MemberProgress;
+	readonly getProgress: (replica: string) => ReplicationProgress;
 };
 
 export const MAX_VOTERS = 7;
@@ -39,12 +39,12 @@
  * checkRepair({remove: 'b'}, view); // Either.left(…) if the rest would have no live majority
  * ```
  */
-export function checkRepair(repair: Repair, view: MembersView, current: Repair | undefined): Either.Either<Problem, Repair> {
+export function validateReconfiguration(repair: Reconfiguration, view: ConfigurationStatus, current: Reconfiguration | undefined): Either.Either<Problem, Reconfiguration> {
 	const {configuration} = view;
 	const {voters, learners} = configuration;
 	const refuse = (text: string) => Either.left(createProblem('membershipRefused', text));
 	if (current) {
-		return refuse(`The repair is not finished: ${describeRepair(current)}.`);
+		return refuse(`The repair is not finished: ${describeReconfiguration(current)}.`);
 	}
 
 	if (!view.isCommitted || configuration.outgoing.length > 0) {
@@ -64,7 +64,7 @@
 		return refuse(`There would be ${next.length} voters.`);
 	}
 
-	const alive = next.filter(member => member.replica === repair.add?.replica || view.progressOf(member.replica).alive);
+	const alive = next.filter(member => member.replica === repair.add?.replica || view.getProgress(member.replica).alive);
 	if (alive.length * 2 <= next.length) {
 		return refuse(`Only ${alive.length} of ${next.length} voters would be alive; the quorum would be lost.`);
 	}
@@ -80,9 +80,9 @@
  * nextConfiguration({add: member}, view)?.learners; // [member]
  * ```
  */
-export function nextConfiguration(repair: Repair, view: MembersView): Configuration | undefined {
+export function planNextConfiguration(repair: Reconfiguration, view: ConfigurationStatus): Configuration | undefined {
 	const {configuration} = view;
-	if (!view.isCommitted || configuration.outgoing.length > 0 || isRepaired(repair, view)) {
+	if (!view.isCommitted || configuration.outgoing.length > 0 || isReconfigurationComplete(repair, view)) {
 		return undefined;
 	}
 
@@ -94,7 +94,7 @@
 	}
 
 	if (add && learners.some(member => member.replica === add.replica)) {
-		const {matchIndex, alive} = view.progressOf(add.replica);
+		const {matchIndex, alive} = view.getProgress(add.replica);
 		if (!alive || matchIndex < view.commitIndex - CATCH_UP_ENTRIES) {
 			return undefined;
 		}
@@ -114,12 +114,12 @@
  * isRepaired({add: member}, view);
  * ```
  */
-export function isRepaired(repair: Repair, view: MembersView): boolean {
+export function isReconfigurationComplete(repair: Reconfiguration, view: ConfigurationStatus): boolean {
 	const {configuration} = view;
 	const {voters, learners} = configuration;
 	const isIn = !repair.add || voters.some(member => member.replica === repair.add!.replica);
 	const isOut = repair.remove === undefined || ![...voters, ...learners].some(member => member.replica === repair.remove);
-	const holdsAll = !repair.add || view.progressOf(repair.add.replica).matchIndex >= view.commitIndex;
+	const holdsAll = !repair.add || view.getProgress(repair.add.replica).matchIndex >= view.commitIndex;
 	return view.isCommitted && configuration.outgoing.length === 0 && isIn && isOut && holdsAll;
 }
 
@@ -131,7 +131,7 @@
  * describeRepair({add: member, remove: '6f1c'}); // 'host c2 takes the place of replica 6f1c'
  * ```
  */
-export function describeRepair(repair: Repair): string {
+export function describeReconfiguration(repair: Reconfiguration): string {
 	if (repair.add && repair.remove !== undefined) {
 		return `host ${repair.add.host} takes the place of replica ${repair.remove}`;
 	}
@@ -139,7 +139,7 @@
 	return repair.add ? `host ${repair.add.host} is added` : `replica ${repair.remove ?? ''} is removed`;
 }
 
-function nextVoters(configuration: Configuration, repair: Repair): Member[] {
+function nextVoters(configuration: Configuration, repair: Reconfiguration): Member[] {
 	const kept = configuration.voters.filter(member => member.replica !== repair.remove);
 	const isIn = kept.some(member => member.replica === repair.add?.replica);
 	return repair.add && !isIn ? [...kept, repair.add] : kept;
--- a/src/control/repairs.ts
+++ b/src/control/reconfigurator.ts
@@ -11,10 +11,10 @@
 import type {Problem} from '../base/problem.js';
 import type {Configuration, Member} from '../generated/types.js';
 import {
-	checkRepair, isRepaired, nextConfiguration, type MembersView, type Repair,
-} from './members.js';
+	validateReconfiguration, isReconfigurationComplete, planNextConfiguration, type ConfigurationStatus, type Reconfiguration,
+} from './reconfiguration.js';
 
-export type RepairTiming = {
+export type ReconfigurationTiming = {
 	/** How long a voter must be away before a spare takes its place, milliseconds. */
 	readonly replaceAfterMs: number;
 	/** How long a repair may wait for its new replica before it is given up, milliseconds. */
@@ -22,33 +22,33 @@
 };
 
 /** A machine that restarts is back within a few seconds; replacing it then would cost more than waiting. */
-export const DEFAULT_REPAIR_TIMING: RepairTiming = {replaceAfterMs: 8000, abandonAfterMs: 4000};
+export const DEFAULT_RECONFIGURATION_TIMING: ReconfigurationTiming = {replaceAfterMs: 8000, abandonAfterMs: 4000};
 /** Voters to aim for: five bear the loss of two. */
-export const WANTED_VOTERS = 5;
+export const TARGET_VOTERS = 5;
 
-export type RepairEvent
-	= | {readonly type: 'finished'; readonly repair: Repair}
-		| {readonly type: 'abandoned'; readonly repair: Repair}
-		| {readonly type: 'configure'; readonly configuration: Configuration};
+export type ReconfigurationEvent
+	= | {readonly type: 'finished'; readonly reconfiguration: Reconfiguration}
+		| {readonly type: 'abandoned'; readonly reconfiguration: Reconfiguration}
+		| {readonly type: 'propose-configuration'; readonly configuration: Configuration};
 
 /** The repairs of one term of leadership. */
-export class Repairs {
-	readonly #timing: RepairTiming;
+export class Reconfigurator {
+	readonly #timing: ReconfigurationTiming;
 	readonly #aliveMs = new Map<string, number>();
-	#current: Repair | undefined;
+	#current: Reconfiguration | undefined;
 	#progressMs = 0;
 
-	constructor(timing = DEFAULT_REPAIR_TIMING) {
+	constructor(timing = DEFAULT_RECONFIGURATION_TIMING) {
 		this.#timing = timing;
 	}
 
-	get current(): Repair | undefined {
+	get current(): Reconfiguration | undefined {
 		return this.#current;
 	}
 
 	/** Begins a repair, unless it would endanger the quorum or another one is under way. */
-	begin(repair: Repair, view: MembersView, nowMs: number): Either.Either<Problem, Repair> {
-		const checked = checkRepair(repair, view, this.#current);
+	start(repair: Reconfiguration, view: ConfigurationStatus, nowMs: number): Either.Either<Problem, Reconfiguration> {
+		const checked = validateReconfiguration(repair, view, this.#current);
 		if (Either.isRight(checked)) {
 			this.#current = repair;
 			this.#progressMs = nowMs;
@@ -58,7 +58,7 @@
 	}
 
 	/** Finds the repair that takes a control host in; undefined while it is not wanted. */
-	planJoin(member: Member, view: MembersView, nowMs: number): Repair | undefined {
+	planJoin(member: Member, view: ConfigurationStatus, nowMs: number): Reconfiguration | undefined {
 		const {voters, learners} = view.configuration;
 		if (this.#current !== undefined || voters.some(voter => voter.replica === member.replica)) {
 			return undefined;
@@ -74,7 +74,7 @@
 			return {remove: stale.replica};
 		}
 
-		if (voters.length < WANTED_VOTERS) {
+		if (voters.length < TARGET_VOTERS) {
 			return {add: member};
 		}
 
@@ -83,37 +83,37 @@
 	}
 
 	/** Carries the current repair one step on. */
-	tick(view: MembersView, nowMs: number): RepairEvent | undefined {
+	tick(view: ConfigurationStatus, nowMs: number): ReconfigurationEvent | undefined {
 		this.#noteAlive(view, nowMs);
 		const repair = this.#current;
 		if (!repair) {
 			return undefined;
 		}
 
-		if (isRepaired(repair, view)) {
+		if (isReconfigurationComplete(repair, view)) {
 			this.#current = undefined;
-			return {type: 'finished', repair};
+			return {type: 'finished', reconfiguration: repair};
 		}
 
-		const configuration = nextConfiguration(repair, view);
+		const configuration = planNextConfiguration(repair, view);
 		if (configuration) {
 			this.#progressMs = nowMs;
-			return {type: 'configure', configuration};
+			return {type: 'propose-configuration', configuration};
 		}
 
-		const isWaitingForNew = repair.add !== undefined && !view.progressOf(repair.add.replica).alive;
+		const isWaitingForNew = repair.add !== undefined && !view.getProgress(repair.add.replica).alive;
 		const isSettled = view.isCommitted && view.configuration.outgoing.length === 0;
 		if (isWaitingForNew && isSettled && nowMs - this.#progressMs > this.#timing.abandonAfterMs) {
 			this.#current = undefined;
-			return {type: 'abandoned', repair};
+			return {type: 'abandoned', reconfiguration: repair};
 		}
 
 		return undefined;
 	}
 
-	#noteAlive(view: MembersView, nowMs: number): void {
+	#noteAlive(view: ConfigurationStatus, nowMs: number): void {
 		for (const {replica} of view.configuration.voters) {
-			if (view.progressOf(replica).alive || !this.#aliveMs.has(replica)) {
+			if (view.getProgress(replica).alive || !this.#aliveMs.has(replica)) {
 				this.#aliveMs.set(replica, nowMs);
 			}
 		}
--- a/src/control/service.ts
+++ b/src/control/service.ts
@@ -10,51 +10,51 @@
 import type {Random} from '../base/random.js';
 import {isVoter, listMembers} from '../consensus/configuration.js';
 import {
-	ConsensusNode, type Committed, type Leadership, type Machine,
+	ConsensusNode, type CommitResult, type Leadership, type StateMachine,
 } from '../consensus/node.js';
-import type {Timing} from '../consensus/replica.js';
+import type {ReplicaTiming} from '../consensus/replica.js';
 import {
-	EMPTY_SNAPSHOT, readIdentity, Storage,
+	EMPTY_SNAPSHOT, loadOrCreateIdentity, Storage,
 } from '../consensus/storage.js';
 import type {
-	Announcement, Command, CommandEntry, Configuration, Member, Members, MembersReply, Message, Outcome, Peer, Propose, Read, Renew, Welcome,
+	Announcement, Command, CommandEntry, Configuration, Member, MembersRequest, MembersReply, Message, CommandOutcome, Peer, ProposeRequest, ReadRequest, RenewRequest, Welcome,
 } from '../generated/types.js';
 import {decodeValue, encodeValue} from '../wire/frame.js';
 import {
 	connect, ConnectionPool, type Address, type Connection,
 } from '../wire/connection.js';
-import {adoptConfiguration, formConfiguration, type BootstrapAnswer} from './bootstrap.js';
+import {findInitialConfiguration, createInitialConfiguration, type BootstrapReply} from './bootstrap.js';
 import {
-	Controller, type Authority, type ControllerEffect, type ControllerTiming, type OrderMechanisms, type OrderReport,
+	Controller, type LeaseClock, type ControllerEffect, type ControllerTiming, type OrderSafeguards, type OrderReport,
 } from './controller.js';
-import {describeRepair, type MembersView, type Repair} from './members.js';
-import {HttpOrders, type OrderPort} from './order.js';
-import {Repairs} from './repairs.js';
-import {ControlState, type StateImage} from './state.js';
+import {describeReconfiguration, type ConfigurationStatus, type Reconfiguration} from './reconfiguration.js';
+import {HttpOrderTransport, type OrderTransport} from './order.js';
+import {Reconfigurator} from './reconfigurator.js';
+import {ControlState, type ControlStateSnapshot} from './state.js';
 
-export type ServiceOptions = {
+export type ControlServiceOptions = {
 	readonly host: string;
 	readonly folder: string;
 	readonly peers: readonly Peer[];
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly loggers: LoggerFactory;
-	readonly timing?: Timing;
+	readonly timing?: ReplicaTiming;
 	readonly onCommit?: () => void;
 	/** Called when committed commands were applied, or a snapshot took their place. */
 	readonly onApplied?: () => void;
 	/** Engines that are announced now, for the choice of roles. */
 	readonly listEngines?: () => Announcement[];
 	/** How orders reach engines; the project's own form if absent. */
-	readonly orders?: OrderPort;
+	readonly orderTransport?: OrderTransport;
 	readonly controllerTiming?: ControllerTiming;
-	readonly orderMechanisms?: OrderMechanisms;
+	readonly orderSafeguards?: OrderSafeguards;
 	/** Every control host heard of so far; `peers` if absent. */
 	readonly listPeers?: () => readonly Address[];
 	/** Where this host is reached, if it asks to be taken in by itself; `peers` are asked. */
 	readonly self?: Peer;
 	/** Whether the whole fleet starts for the first time; otherwise nobody forms a first configuration. */
-	readonly mayBootstrap?: boolean;
+	readonly canBootstrap?: boolean;
 };
 
 type Subscriber = {
@@ -71,16 +71,16 @@
 
 /** The running control role. Whoever started it closes it. */
 export class ControlService {
-	readonly #options: ServiceOptions;
+	readonly #options: ControlServiceOptions;
 	readonly #logger: Logger;
 	readonly #replica: string;
 	readonly #storage: Storage;
-	readonly #orders: OrderPort;
+	readonly #orders: OrderTransport;
 	readonly #subscribers = new Map<string, Subscriber>();
 	#state = new ControlState();
 	#node: ConsensusNode | undefined;
 	#controller: Controller | undefined;
-	#repairs = new Repairs();
+	#repairs = new Reconfigurator();
 	#timer: NodeJS.Timeout | undefined;
 	#joinTimer: NodeJS.Timeout | undefined;
 	#joinPool: ConnectionPool | undefined;
@@ -90,12 +90,12 @@
 	#distrustUntilMs = Number.NEGATIVE_INFINITY;
 	#isClosed = false;
 
-	private constructor(options: ServiceOptions, replica: string, storage: Storage) {
+	private constructor(options: ControlServiceOptions, replica: string, storage: Storage) {
 		this.#options = options;
 		this.#logger = options.loggers('control');
 		this.#replica = replica;
 		this.#storage = storage;
-		this.#orders = options.orders ?? new HttpOrders(options.clock);
+		this.#orders = options.orderTransport ?? new HttpOrderTransport(options.clock);
 	}
 
 	/**
@@ -106,8 +106,8 @@
 	 * const service = await ControlService.start(options); // Either.left for a damaged folder
 	 * ```
 	 */
-	static async start(options: ServiceOptions): Promise<Either.Either<Problem, ControlService>> {
-		const replica = await readIdentity(options.folder);
+	static async start(options: ControlServiceOptions): Promise<Either.Either<Problem, ControlService>> {
+		const replica = await loadOrCreateIdentity(options.folder);
 		if (Either.isLeft(replica)) {
 			return replica;
 		}
@@ -115,8 +115,8 @@
 		// The storage reports to a service that is made after it.
 		const holder: {service?: ControlService} = {};
 		const storage = await Storage.open(options.folder, {
-			onSynced: sequence => holder.service?.synced(sequence),
-			onFailed: problem => holder.service?.noteDiskFailure(problem),
+			onSynced: sequence => holder.service?.markSynced(sequence),
+			onWriteFailure: problem => holder.service?.reportDiskFailure(problem),
 		});
 		if (Either.isLeft(storage)) {
 			return storage;
@@ -142,12 +142,12 @@
 
 	/** Whether a majority was in touch with this replica a moment ago. */
 	get hasQuorum(): boolean {
-		return this.#node?.replica.isInTouch(this.#options.clock.monotonicMs()) ?? false;
+		return this.#node?.replica.hasQuorumContact(this.#options.clock.monotonicMs()) ?? false;
 	}
 
 	/** Whether this replica leads, knows all that is committed, and has no successor yet. */
-	get hasAuthority(): boolean {
-		return this.#hasAuthority();
+	get holdsLeaderLease(): boolean {
+		return this.#holdsLeaderLease();
 	}
 
 	/** The state as far as this replica has applied the log. */
@@ -161,26 +161,26 @@
 	}
 
 	/** Proposes a command here; refused unless this replica leads. */
-	async propose(command: Command): Promise<Either.Either<Problem, Committed>> {
+	async propose(command: Command): Promise<Either.Either<Problem, CommitResult>> {
 		return this.#node ? this.#node.propose(encodeValue(command)) : Either.left(createProblem('notLeader'));
 	}
 
 	/** Notes that the disk takes no writes; the replica goes on as one whose writes are slow. */
-	noteDiskFailure(problem: Problem): void {
+	reportDiskFailure(problem: Problem): void {
 		if (!this.#isDiskFailing) {
 			this.#isDiskFailing = true;
 			this.#logger.error('The disk takes no writes.', {code: problem.code, reason: problem.text});
 		}
 	}
 
-	synced(sequence: number): void {
+	markSynced(sequence: number): void {
 		if (this.#isDiskFailing) {
 			this.#isDiskFailing = false;
 			this.#logger.info('The disk takes writes again.');
 		}
 
 		if (sequence > 0) {
-			this.#node?.synced(sequence);
+			this.#node?.markSynced(sequence);
 		}
 	}
 
@@ -230,8 +230,8 @@
 	}
 
 	/** Hands leadership over, so that a planned stop costs no election. */
-	handOver(): void {
-		this.#node?.handOver();
+	transferLeadership(): void {
+		this.#node?.transferLeadership();
 	}
 
 	async close(): Promise<void> {
@@ -243,7 +243,7 @@
 	}
 
 	#begin(): void {
-		const {snapshot, entries} = this.#storage.image;
+		const {snapshot, entries} = this.#storage.persistentState;
 		this.#timer = setInterval(() => {
 			this.#tick();
 		}, CONTROLLER_TICK_MS);
@@ -253,7 +253,7 @@
 			return;
 		}
 
-		if (this.#options.mayBootstrap !== false) {
+		if (this.#options.canBootstrap !== false) {
 			void this.#bootstrap();
 		}
 	}
@@ -287,8 +287,8 @@
 		while (!this.#node && !this.#isClosed) {
 			const answers = await this.#askPeers();
 			const self = {host: this.#options.host, replica: this.#replica};
-			const configuration = formConfiguration(self, this.#options.peers, answers)
-				?? adoptConfiguration(this.#replica, this.#options.peers, answers);
+			const configuration = createInitialConfiguration(self, this.#options.peers, answers)
+				?? findInitialConfiguration(this.#replica, this.#options.peers, answers);
 			if (configuration && !this.#node) {
 				this.#logger.info('Starts from the first configuration.', {voters: configuration.voters.map(({host}) => host)});
 				this.#startNode(configuration);
@@ -301,7 +301,7 @@
 		}
 	}
 
-	async #askPeers(): Promise<BootstrapAnswer[]> {
+	async #askPeers(): Promise<BootstrapReply[]> {
 		const others = this.#options.peers.filter(peer => peer.host !== this.#options.host);
 		const answers = await Promise.all(others.map(async peer => {
 			const welcome = await askHello(peer);
@@ -315,15 +315,15 @@
 			return;
 		}
 
-		const {hard, snapshot, entries} = this.#storage.image;
-		const machine: Machine = {
+		const {hard, snapshot, entries} = this.#storage.persistentState;
+		const machine: StateMachine = {
 			apply: entry => this.#apply(entry),
 			skip: index => {
 				this.#state.skip(index);
 			},
-			save: () => encodeValue(this.#state.save()),
+			createSnapshot: () => encodeValue(this.#state.createSnapshot()),
 			restore: data => {
-				this.#state = new ControlState(decodeValue(data) as StateImage);
+				this.#state = new ControlState(decodeValue(data) as ControlStateSnapshot);
 			},
 		};
 		const configured = first ? {...EMPTY_SNAPSHOT, configuration: first} : snapshot;
@@ -333,14 +333,14 @@
 
 		this.#node = new ConsensusNode({
 			replica: this.#replica,
-			image: {hard, snapshot: configured, entries},
+			persistentState: {hard, snapshot: configured, entries},
 			storage: this.#storage,
-			machine,
+			stateMachine: machine,
 			clock: this.#options.clock,
 			random: this.#options.random,
 			logger: this.#options.loggers('consensus'),
 			timing: this.#options.timing,
-			onLeadership: leadership => {
+			onLeadershipChange: leadership => {
 				this.#onLeadership(leadership);
 			},
 			onApplied: () => {
@@ -349,27 +349,27 @@
 		});
 	}
 
-	#apply(entry: CommandEntry): Outcome {
+	#apply(entry: CommandEntry): CommandOutcome {
 		return this.#state.apply(decodeValue(entry.data) as Command, entry.index);
 	}
 
 	#onLeadership({role, term}: Leadership): void {
 		if (role === 'leader') {
 			this.#leaderTerm = term;
-			this.#controller = new Controller(this.#options.clock.monotonicMs(), this.#options.controllerTiming, this.#options.orderMechanisms);
-			this.#repairs = new Repairs();
+			this.#controller = new Controller(this.#options.clock.monotonicMs(), this.#options.controllerTiming, this.#options.orderSafeguards);
+			this.#repairs = new Reconfigurator();
 			return;
 		}
 
 		this.#controller = undefined;
-		this.#repairs = new Repairs();
+		this.#repairs = new Reconfigurator();
 		this.#subscribers.clear();
 	}
 
 	#onApplied(): void {
 		this.#options.onCommit?.();
 		this.#options.onApplied?.();
-		if (!this.#controller || !this.#hasAuthority()) {
+		if (!this.#controller || !this.#holdsLeaderLease()) {
 			return;
 		}
 
@@ -381,9 +381,9 @@
 	}
 
 	/** Whether this replica leads, knows all that is committed and can have no successor yet. */
-	#hasAuthority(): boolean {
+	#holdsLeaderLease(): boolean {
 		const node = this.#node;
-		return node !== undefined && node.replica.isLeaderReady && node.leaseUntilMs() > this.#options.clock.monotonicMs();
+		return node !== undefined && node.replica.isLeaderReady && node.getLeaseExpiryMs() > this.#options.clock.monotonicMs();
 	}
 
 	#tick(): void {
@@ -395,12 +395,12 @@
 		const authority = this.#authority();
 		const engines = this.#options.listEngines?.() ?? [];
 		for (const engine of engines) {
-			this.#controller.see(engine, authority.nowMs);
+			this.#controller.observe(engine, authority.nowMs);
 		}
 
 		const effects = [
 			...this.#controller.tick(this.#state, authority),
-			...this.#controller.tickRoles(this.#state, engines, authority),
+			...this.#controller.planRoleChanges(this.#state, engines, authority),
 		];
 		for (const effect of effects) {
 			void this.#run(effect);
@@ -409,11 +409,11 @@
 		this.#tickRepair(node);
 	}
 
-	#authority(): Authority {
+	#authority(): LeaseClock {
 		const nowMs = this.#options.clock.monotonicMs();
 		const wallMs = this.#options.clock.wallMs();
 		this.#watchClocks(nowMs, wallMs);
-		const leaseUntilMs = nowMs < this.#distrustUntilMs ? Number.NEGATIVE_INFINITY : this.#node?.leaseUntilMs() ?? Number.NEGATIVE_INFINITY;
+		const leaseUntilMs = nowMs < this.#distrustUntilMs ? Number.NEGATIVE_INFINITY : this.#node?.getLeaseExpiryMs() ?? Number.NEGATIVE_INFINITY;
 		return {nowMs, wallMs, leaseUntilMs};
 	}
 
@@ -441,7 +441,7 @@
 		});
 		const report = effect.type === 'send-order'
 			? await this.#orders.send(effect)
-			: await this.#orders.readBack(server, order, effect.isOwn);
+			: await this.#orders.queryOrder(server, order, effect.isOwn);
 		this.#onReport(report, term);
 	}
 
@@ -451,7 +451,7 @@
 		}
 
 		this.#logger.info(`Order ${report.order} at ${report.server} is ${report.type}.`, {...report});
-		for (const effect of this.#controller.report(report, this.#authority())) {
+		for (const effect of this.#controller.handleReport(report, this.#authority())) {
 			void this.#run(effect);
 		}
 	}
@@ -470,7 +470,7 @@
 		}
 	}
 
-	async #onPropose(message: Propose, connection: Connection): Promise<void> {
+	async #onPropose(message: ProposeRequest, connection: Connection): Promise<void> {
 		const node = this.#node;
 		if (!node?.replica.isLeaderReady) {
 			this.#refuse(message.id, createProblem('notLeader'), connection);
@@ -486,27 +486,27 @@
 
 		const {index, outcome} = result.right;
 		connection.send({
-			type: 'proposed', id: message.id, index, outcome: outcome as Outcome,
+			type: 'proposed', id: message.id, index, outcome: outcome as CommandOutcome,
 		});
 	}
 
-	async #onRead(message: Read, connection: Connection): Promise<void> {
-		const read = this.#node ? await this.#node.read() : Either.left(createProblem('notLeader'));
+	async #onRead(message: ReadRequest, connection: Connection): Promise<void> {
+		const read = this.#node ? await this.#node.awaitReadIndex() : Either.left(createProblem('notLeader'));
 		if (Either.isLeft(read)) {
 			this.#refuse(message.id, read.left, connection);
 			return;
 		}
 
-		connection.send({type: 'listing', id: message.id, view: this.#state.updateSince(message.from)});
+		connection.send({type: 'listing', id: message.id, view: this.#state.createViewUpdate(message.from)});
 	}
 
-	#onRenew(message: Renew, connection: Connection): void {
-		if (!this.#controller || !this.#hasAuthority()) {
+	#onRenew(message: RenewRequest, connection: Connection): void {
+		if (!this.#controller || !this.#holdsLeaderLease()) {
 			this.#refuse(message.id, createProblem('notLeader'), connection);
 			return;
 		}
 
-		const leaseMs = this.#controller.renew(message, this.#options.clock.monotonicMs());
+		const leaseMs = this.#controller.renewViewLease(message, this.#options.clock.monotonicMs());
 		const subscriber: Subscriber = {connection, sentVersion: message.version};
 		this.#subscribers.set(message.host, subscriber);
 		this.#sendView(subscriber, message.id, leaseMs);
@@ -516,14 +516,14 @@
 	}
 
 	#sendView(subscriber: Subscriber, id: number, leaseMs: number): void {
-		const view = this.#state.updateSince(subscriber.sentVersion);
+		const view = this.#state.createViewUpdate(subscriber.sentVersion);
 		subscriber.sentVersion = view.version;
 		subscriber.connection.send({
 			type: 'renewed', id, leaseMs, view, members: listMembers(this.#node!.replica.configuration),
 		});
 	}
 
-	async #onMembers(message: Members, connection: Connection): Promise<void> {
+	async #onMembers(message: MembersRequest, connection: Connection): Promise<void> {
 		const node = this.#node;
 		if (!node?.replica.isLeaderReady) {
 			this.#refuse(message.id, createProblem('notLeader'), connection);
@@ -542,7 +542,7 @@
 		connection.send(this.#createMembersReply(message.id, node));
 	}
 
-	async #planRepair(message: Members): Promise<Either.Either<Problem, Repair>> {
+	async #planRepair(message: MembersRequest): Promise<Either.Either<Problem, Reconfiguration>> {
 		if (message.action === 'remove') {
 			return Either.right({remove: message.replica ?? ''});
 		}
@@ -572,10 +572,10 @@
 		}
 	}
 
-	#beginRepair(repair: Repair, node: ConsensusNode): Either.Either<Problem, Repair> {
-		const begun = this.#repairs.begin(repair, this.#membersView(node), this.#options.clock.monotonicMs());
+	#beginRepair(repair: Reconfiguration, node: ConsensusNode): Either.Either<Problem, Reconfiguration> {
+		const begun = this.#repairs.start(repair, this.#membersView(node), this.#options.clock.monotonicMs());
 		if (Either.isRight(begun)) {
-			this.#logger.info(`Begins a repair: ${describeRepair(repair)}.`);
+			this.#logger.info(`Begins a repair: ${describeReconfiguration(repair)}.`);
 			this.#tickRepair(node);
 		}
 
@@ -584,28 +584,28 @@
 
 	#tickRepair(node: ConsensusNode): void {
 		const event = this.#repairs.tick(this.#membersView(node), this.#options.clock.monotonicMs());
-		if (event?.type === 'configure') {
-			node.configure(event.configuration);
+		if (event?.type === 'propose-configuration') {
+			node.proposeConfiguration(event.configuration);
 		} else if (event) {
-			this.#logger.info(`Repair ${event.type}: ${describeRepair(event.repair)}.`);
+			this.#logger.info(`Repair ${event.type}: ${describeReconfiguration(event.reconfiguration)}.`);
 		}
 	}
 
-	#membersView(node: ConsensusNode): MembersView {
+	#membersView(node: ConsensusNode): ConfigurationStatus {
 		const nowMs = this.#options.clock.monotonicMs();
 		return {
 			configuration: node.replica.configuration,
 			isCommitted: node.replica.isConfigurationCommitted,
 			commitIndex: node.replica.commitIndex,
-			progressOf: replica => node.replica.progressOf(replica, nowMs),
+			getProgress: replica => node.replica.getProgress(replica, nowMs),
 		};
 	}
 
 	#createMembersReply(id: number, node: ConsensusNode): MembersReply {
 		const view = this.#membersView(node);
-		const progress = listMembers(view.configuration).map(({replica}) => ({replica, ...view.progressOf(replica)}));
+		const progress = listMembers(view.configuration).map(({replica}) => ({replica, ...view.getProgress(replica)}));
 		const {current} = this.#repairs;
-		const repair = current ? {repair: describeRepair(current)} : {};
+		const repair = current ? {repair: describeReconfiguration(current)} : {};
 		return {
 			type: 'members-reply',
 			id,
--- a/src/control/state.ts
+++ b/src/control/state.ts
@@ -6,24 +6,24 @@
  */
 import {CODES} from '../generated/codes.js';
 import type {
-	Advance, Change, ChangeStatus, Command, Conflict, IssueOrder, Action, Outcome, Phase, Publication, Put, Remove, Resource, SettleOrder, Specification, Step, ViewUpdate,
+	AdvanceCommand, ChangeSpecification, ChangeStatus, Command, ConflictOutcome, IssueOrderCommand, OrderAction, CommandOutcome, ChangePhase, Publication, PutCommand, RemoveCommand, Resource, SettleOrderCommand, Specification, ChangeStep, ViewUpdate,
 } from '../generated/types.js';
-import {Ledger, type LedgerImage} from './ledger.js';
+import {Ledger, type LedgerSnapshot} from './ledger.js';
 
-export type Kind = Specification['kind'];
+export type ResourceKind = Specification['kind'];
 
 export type OpenOrder = {
 	readonly server: string;
 	/** Fencing number: the index of the order in the log. */
 	readonly order: number;
 	readonly change: string;
-	readonly action: Action;
+	readonly action: OrderAction;
 };
 
 type RememberedRequest = {
 	readonly requestId: string;
 	readonly atMs: number;
-	readonly outcome: Outcome;
+	readonly outcome: CommandOutcome;
 };
 
 type Removal = {
@@ -31,7 +31,7 @@
 	readonly version: number;
 };
 
-export type StateImage = {
+export type ControlStateSnapshot = {
 	readonly version: number;
 	readonly viewVersion: number;
 	readonly clockMs: number;
@@ -40,12 +40,12 @@
 	readonly removalFloor: number;
 	readonly orders: readonly OpenOrder[];
 	readonly requests: readonly RememberedRequest[];
-	readonly ledger: LedgerImage;
+	readonly ledger: LedgerSnapshot;
 };
 
-export const PHASES = {
+export const CHANGE_PHASES = {
 	draining: 'draining', drained: 'drained', ordered: 'ordered', done: 'done', failed: 'failed',
-} as const satisfies Record<Phase, Phase>;
+} as const satisfies Record<ChangePhase, ChangePhase>;
 
 /** Name of the one resource that holds routes, services and limits. */
 export const PUBLICATION_NAME = 'current';
@@ -54,7 +54,7 @@
 const REQUEST_RETENTION_MS = 60 * 60 * 1000;
 const MAX_REQUESTS = 20_000;
 const MAX_REMOVALS = 2000;
-const EMPTY_IMAGE: StateImage = {
+const EMPTY_IMAGE: ControlStateSnapshot = {
 	version: 0, viewVersion: 0, clockMs: 0, resources: [], removals: [], removalFloor: 0, orders: [], requests: [], ledger: {records: [], abandoned: []},
 };
 
@@ -70,7 +70,7 @@
 	#viewVersion: number;
 	#clockMs: number;
 
-	constructor(image: StateImage = EMPTY_IMAGE, claimBeforeSend = true) {
+	constructor(image: ControlStateSnapshot = EMPTY_IMAGE, claimBeforeSend = true) {
 		this.ledger = new Ledger(image.ledger, claimBeforeSend);
 		this.#version = image.version;
 		this.#viewVersion = image.viewVersion;
@@ -78,7 +78,7 @@
 		this.#removals = [...image.removals];
 		this.#removalFloor = image.removalFloor;
 		for (const resource of image.resources) {
-			this.#resources.set(resourceKey(resource.specification.kind, resource.name), resource);
+			this.#resources.set(createResourceKey(resource.specification.kind, resource.name), resource);
 		}
 
 		for (const order of image.orders) {
@@ -105,8 +105,8 @@
 		return this.#clockMs;
 	}
 
-	find(kind: Kind, name: string): Resource | undefined {
-		return this.#resources.get(resourceKey(kind, name));
+	findResource(kind: ResourceKind, name: string): Resource | undefined {
+		return this.#resources.get(createResourceKey(kind, name));
 	}
 
 	listResources(): Resource[] {
@@ -115,7 +115,7 @@
 
 	/** The publication in force; undefined before the first one. */
 	get publication(): Publication | undefined {
-		const specification = this.find('publication', PUBLICATION_NAME)?.specification;
+		const specification = this.findResource('publication', PUBLICATION_NAME)?.specification;
 		return specification?.kind === 'publication' ? specification : undefined;
 	}
 
@@ -130,7 +130,7 @@
 	}
 
 	/** Applies the command at an index of the log. */
-	apply(command: Command, index: number): Outcome {
+	apply(command: Command, index: number): CommandOutcome {
 		this.#version = index;
 		this.#clockMs = Math.max(this.#clockMs, command.at);
 		this.#expire();
@@ -143,7 +143,7 @@
 	}
 
 	/** What changed since a version; the whole state if that version is too old. */
-	updateSince(from: number): ViewUpdate {
+	createViewUpdate(from: number): ViewUpdate {
 		if (from < this.#removalFloor || from > this.#viewVersion) {
 			return {
 				from: ANY_VERSION, version: this.#viewVersion, resources: this.listResources(), removed: [],
@@ -158,7 +158,7 @@
 		};
 	}
 
-	save(): StateImage {
+	createSnapshot(): ControlStateSnapshot {
 		return {
 			version: this.#version,
 			viewVersion: this.#viewVersion,
@@ -168,11 +168,11 @@
 			removalFloor: this.#removalFloor,
 			orders: this.listOpenOrders(),
 			requests: [...this.#requests.values()],
-			ledger: this.ledger.save(),
+			ledger: this.ledger.createSnapshot(),
 		};
 	}
 
-	#dispatch(command: Command, index: number): Outcome {
+	#dispatch(command: Command, index: number): CommandOutcome {
 		switch (command.type) {
 			case 'put': {
 				return this.#once(command.requestId, command.at, () => this.#put(command, index));
@@ -205,7 +205,7 @@
 	}
 
 	/** A request that is sent again gets the answer it got the first time. */
-	#once(requestId: string, atMs: number, run: () => Outcome): Outcome {
+	#once(requestId: string, atMs: number, run: () => CommandOutcome): CommandOutcome {
 		const known = this.#requests.get(requestId);
 		if (known) {
 			return known.outcome;
@@ -216,9 +216,9 @@
 		return outcome;
 	}
 
-	#put(command: Put, index: number): Outcome {
+	#put(command: PutCommand, index: number): CommandOutcome {
 		const {specification, name, seen} = command;
-		const known = this.#resources.get(resourceKey(specification.kind, name));
+		const known = this.#resources.get(createResourceKey(specification.kind, name));
 		const current = known?.version ?? 0;
 		if (specification.kind === 'publication' && known?.specification.kind === 'publication' && known.specification.version >= specification.version) {
 			// What was published later stays in force, whichever arrives first.
@@ -237,7 +237,7 @@
 		return this.#declareChange(command, specification, known, index);
 	}
 
-	#declareChange(command: Put, specification: Change, known: Resource | undefined, index: number): Outcome {
+	#declareChange(command: PutCommand, specification: ChangeSpecification, known: Resource | undefined, index: number): CommandOutcome {
 		if (known) {
 			return createConflict('versionConflict', known.version, 'A planned change is not altered; delete it and declare another.');
 		}
@@ -248,14 +248,14 @@
 		}
 
 		const note = `Declared: ${describeChange(specification)}. No new work is sent there from now on.`;
-		const status: ChangeStatus = {phase: PHASES.draining, history: [{at: command.at, phase: PHASES.draining, note}]};
+		const status: ChangeStatus = {phase: CHANGE_PHASES.draining, history: [{at: command.at, phase: CHANGE_PHASES.draining, note}]};
 		this.#store({
 			name: command.name, version: index, specification, status,
 		});
 		return {type: 'accepted', version: index};
 	}
 
-	#remove(command: Remove, index: number): Outcome {
+	#remove(command: RemoveCommand, index: number): CommandOutcome {
 		const key = `${command.kind}/${command.name}`;
 		const known = this.#resources.get(key);
 		const current = known?.version ?? 0;
@@ -263,7 +263,7 @@
 			return createConflict('versionConflict', current, `It has version ${current}, you saw ${command.seen}.`);
 		}
 
-		if (known.status?.phase === PHASES.ordered) {
+		if (known.status?.phase === CHANGE_PHASES.ordered) {
 			return createConflict('engineBusy', current, 'Its order has gone out and is not settled yet.');
 		}
 
@@ -277,8 +277,8 @@
 		return {type: 'accepted', version: index};
 	}
 
-	#advance(command: Advance, index: number): Outcome {
-		const resource = this.find('change', command.change);
+	#advance(command: AdvanceCommand, index: number): CommandOutcome {
+		const resource = this.findResource('change', command.change);
 		if (resource?.status?.phase !== command.from) {
 			return createConflict('versionConflict', resource?.version ?? 0, 'The change is in another phase.');
 		}
@@ -287,9 +287,9 @@
 		return {type: 'accepted', version: index};
 	}
 
-	#issueOrder(command: IssueOrder, index: number): Outcome {
-		const resource = this.find('change', command.change);
-		if (resource?.status?.phase !== PHASES.drained || this.#orders.has(command.server)) {
+	#issueOrder(command: IssueOrderCommand, index: number): CommandOutcome {
+		const resource = this.findResource('change', command.change);
+		if (resource?.status?.phase !== CHANGE_PHASES.drained || this.#orders.has(command.server)) {
 			return createConflict('engineBusy', resource?.version ?? 0, 'The change is not ready for an order, or another one is open.');
 		}
 
@@ -297,27 +297,27 @@
 			server: command.server, order: index, change: command.change, action: command.action,
 		});
 		const note = `Order ${index} to ${command.server}: ${describeAction(command.action)}.`;
-		this.#enter(resource, {at: command.at, phase: PHASES.ordered, note}, index, index);
+		this.#enter(resource, {at: command.at, phase: CHANGE_PHASES.ordered, note}, index, index);
 		return {type: 'accepted', version: index};
 	}
 
-	#settleOrder(command: SettleOrder, index: number): Outcome {
+	#settleOrder(command: SettleOrderCommand, index: number): CommandOutcome {
 		const open = this.#orders.get(command.server);
 		if (open?.order !== command.order) {
 			return createConflict('versionConflict', open?.order ?? 0, 'That order is not open.');
 		}
 
 		this.#orders.delete(command.server);
-		const resource = this.find('change', open.change);
+		const resource = this.findResource('change', open.change);
 		if (resource) {
-			const phase = command.outcome === 'done' ? PHASES.done : PHASES.failed;
+			const phase = command.outcome === 'done' ? CHANGE_PHASES.done : CHANGE_PHASES.failed;
 			this.#enter(resource, {at: command.at, phase, note: command.note}, index);
 		}
 
 		return {type: 'accepted', version: index};
 	}
 
-	#enter(resource: Resource, step: Step, index: number, order?: number): void {
+	#enter(resource: Resource, step: ChangeStep, index: number, order?: number): void {
 		const {phase} = step;
 		const history = [...resource.status?.history ?? [], step];
 		const number = order ?? resource.status?.order;
@@ -327,11 +327,11 @@
 
 	#store(resource: Resource): void {
 		this.#viewVersion = resource.version;
-		this.#resources.set(resourceKey(resource.specification.kind, resource.name), resource);
+		this.#resources.set(createResourceKey(resource.specification.kind, resource.name), resource);
 	}
 
 	#expire(): void {
-		this.ledger.expire(this.#clockMs);
+		this.ledger.removeExpired(this.#clockMs);
 		for (const [requestId, request] of this.#requests) {
 			const isYoung = this.#clockMs - request.atMs < REQUEST_RETENTION_MS;
 			if (isYoung && this.#requests.size <= MAX_REQUESTS) {
@@ -351,7 +351,7 @@
  * resourceKey('engine', 'e1'); // 'engine/e1'
  * ```
  */
-export function resourceKey(kind: Kind, name: string): string {
+export function createResourceKey(kind: ResourceKind, name: string): string {
 	return `${kind}/${name}`;
 }
 
@@ -369,8 +369,8 @@
 		return false;
 	}
 
-	const isDrainDone = specification.action === 'drain' && status.phase === PHASES.drained;
-	return !isDrainDone && status.phase !== PHASES.done && status.phase !== PHASES.failed;
+	const isDrainDone = specification.action === 'drain' && status.phase === CHANGE_PHASES.drained;
+	return !isDrainDone && status.phase !== CHANGE_PHASES.done && status.phase !== CHANGE_PHASES.failed;
 }
 
 /**
@@ -388,11 +388,11 @@
 	}
 
 	const comesBack = specification.action === 'role' || specification.action === 'load';
-	if (status.phase === PHASES.failed) {
+	if (status.phase === CHANGE_PHASES.failed) {
 		return false;
 	}
 
-	return !(comesBack && status.phase === PHASES.done);
+	return !(comesBack && status.phase === CHANGE_PHASES.done);
 }
 
 /**
@@ -403,7 +403,7 @@
  * describeChange({kind: 'change', action: 'drain', server: 'e3'}); // 'drain e3'
  * ```
  */
-export function describeChange(change: Change): string {
+export function describeChange(change: ChangeSpecification): string {
 	const target = {
 		drain: '',
 		withdraw: '',
@@ -423,7 +423,7 @@
  * describeAction({type: 'role', role: 'decode'}); // 'take role decode'
  * ```
  */
-export function describeAction(action: Action): string {
+export function describeAction(action: OrderAction): string {
 	switch (action.type) {
 		case 'role': {
 			return `take role ${action.role ?? '?'}`;
@@ -443,13 +443,13 @@
 	}
 }
 
-function concernsServer(resource: Resource, change: Change): boolean {
-	const other = resource.specification as Change;
+function concernsServer(resource: Resource, change: ChangeSpecification): boolean {
+	const other = resource.specification as ChangeSpecification;
 	const servers = new Set([other.server, other.replacement]);
 	return servers.has(change.server) || (change.replacement !== undefined && servers.has(change.replacement));
 }
 
-function createConflict(name: 'versionConflict' | 'engineBusy', version: number, detail: string): Conflict {
+function createConflict(name: 'versionConflict' | 'engineBusy', version: number, detail: string): ConflictOutcome {
 	return {
 		type: 'conflict', code: CODES[name].code, version, text: `${CODES[name].text} ${detail}`,
 	};
--- a/src/daemon/controlhost.ts
+++ b/src/daemon/controlhost.ts
@@ -10,14 +10,14 @@
 import type {Random} from '../base/random.js';
 import {ControlClient} from '../control/client.js';
 import {
-	ALL_ORDER_MECHANISMS, createRoleChange, DEFAULT_CONTROLLER_TIMING,
+	ALL_ORDER_SAFEGUARDS, createRoleChange, DEFAULT_CONTROLLER_TIMING,
 } from '../control/controller.js';
-import type {OrderPort} from '../control/order.js';
+import type {OrderTransport} from '../control/order.js';
 import type {ControlMetrics} from '../control/metrics.js';
 import {ControlService} from '../control/service.js';
 import {ANY_VERSION, excludesServer, PUBLICATION_NAME} from '../control/state.js';
 import type {
-	Announcement, Message, Publication, Put, ViewUpdate,
+	Announcement, Message, Publication, PutCommand, ViewUpdate,
 } from '../generated/types.js';
 import {FeedPublisher, FeedSubscription} from '../membership/feed.js';
 import {DEFAULT_REGISTRY_TIMING, Registry, type Merge} from '../membership/registry.js';
@@ -41,7 +41,7 @@
 	readonly loggers: LoggerFactory;
 	readonly metrics: ControlMetrics;
 	readonly dialect: Pick<Dialect, 'readCatalogue'>;
-	readonly createOrders: (findServer: (server: string) => Announcement | undefined) => OrderPort;
+	readonly createOrders: (findServer: (server: string) => Announcement | undefined) => OrderTransport;
 	/** Time between the orders of two control hosts, milliseconds. */
 	readonly leaseMs: number;
 	/** Interval of announcements, milliseconds. */
@@ -88,7 +88,7 @@
 		this.#listener = listener;
 		this.#startedMs = options.clock.monotonicMs();
 		const {clock, host, dataCentre, seeds} = options;
-		this.#client = new ControlClient({seeds: [options.peer, ...seeds.filter(seed => !isSame(seed, options.peer))], clock, onPushed: () => undefined});
+		this.#client = new ControlClient({seeds: [options.peer, ...seeds.filter(seed => !isSame(seed, options.peer))], clock, onViewPushed: () => undefined});
 		this.#publisher = new FeedPublisher({
 			host,
 			registry,
@@ -132,14 +132,14 @@
 			peers: options.seeds.map(seed => ({host: seed.address, ...seed})),
 			self: {host: peer.address, ...peer},
 			listPeers: () => holder.host?.listControlAddresses() ?? options.seeds,
-			mayBootstrap: options.firstStart,
+			canBootstrap: options.firstStart,
 			clock: options.clock,
 			random: options.random,
 			loggers: options.loggers,
-			orders: options.createOrders(server => registry.lookup(server)?.announcement),
-			controllerTiming: {...DEFAULT_CONTROLLER_TIMING, successionMs: options.leaseMs + SUCCESSION_MARGIN_MS},
+			orderTransport: options.createOrders(server => registry.lookup(server)?.announcement),
+			controllerTiming: {...DEFAULT_CONTROLLER_TIMING, minTakeoverMs: options.leaseMs + SUCCESSION_MARGIN_MS},
 			// Engines finish what runs before they change their role.
-			orderMechanisms: {...ALL_ORDER_MECHANISMS, awaitViews: false, awaitQuiet: false},
+			orderSafeguards: {...ALL_ORDER_SAFEGUARDS, awaitViewAcknowledgements: false, awaitIdle: false},
 			listEngines: () => registry.listUsable().filter(({kind}) => kind === 'engine'),
 			onApplied() {
 				holder.host?.noteApplied();
@@ -219,7 +219,7 @@
 			return Either.right(undefined);
 		}
 
-		const command: Put = {
+		const command: PutCommand = {
 			type: 'put',
 			at: this.#options.clock.wallMs(),
 			requestId: `publish-${version}`,
@@ -238,8 +238,8 @@
 	/** Reads the publication in force now; a majority confirms it. */
 	async readPublication(): Promise<Either.Either<Problem, string>> {
 		const {state} = this.#service;
-		const listing = await this.#client.read(state.viewVersion, READ_DEADLINE_MS)();
-		this.#options.metrics.reads.inc({outcome: Either.isRight(listing) ? 'answered' : 'unanswered'});
+		const listing = await this.#client.readResources(state.viewVersion, READ_DEADLINE_MS)();
+		this.#options.metrics.publicationReads.inc({outcome: Either.isRight(listing) ? 'answered' : 'unanswered'});
 		if (Either.isLeft(listing)) {
 			return listing;
 		}
@@ -257,7 +257,7 @@
 
 			case 'offer': {
 				const decision = this.#placer.offer(message, this.#options.clock.monotonicMs());
-				this.#options.metrics.placements.inc({decision: decision.type});
+				this.#options.metrics.placementDecisions.inc({decision: decision.type});
 				connection.send(decision);
 				break;
 			}
@@ -290,7 +290,7 @@
 
 	/** Hands leadership over, then stops. */
 	async stop(): Promise<void> {
-		this.#service.handOver();
+		this.#service.transferLeadership();
 		await this.close();
 	}
 
@@ -365,19 +365,19 @@
 
 	#updateGauges(): void {
 		const {metrics} = this.#options;
-		metrics.placed.set(this.#placer.openCount);
-		metrics.servers.set(this.registry.listUsable().length);
-		metrics.subscribers.set(this.#publisher.entryCount);
-		metrics.leads.set(this.#service.hasAuthority ? 1 : 0);
-		metrics.majority.set(this.#service.hasQuorum ? 1 : 0);
-		metrics.version.set(this.#table?.catalogue.version ?? 0);
+		metrics.openPlacements.set(this.#placer.openCount);
+		metrics.usableServers.set(this.registry.listUsable().length);
+		metrics.feedEntryHosts.set(this.#publisher.entryCount);
+		metrics.isLeader.set(this.#service.holdsLeaderLease ? 1 : 0);
+		metrics.hasMajority.set(this.#service.hasQuorum ? 1 : 0);
+		metrics.publicationVersion.set(this.#table?.catalogue.version ?? 0);
 	}
 
 	async #planRoles(): Promise<void> {
 		const {clock} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const {state} = this.#service;
-		const isDue = this.#service.hasAuthority && this.#isWarm() && nowMs - this.#roleChangedMs > ROLE_DWELL_MS;
+		const isDue = this.#service.holdsLeaderLease && this.#isWarm() && nowMs - this.#roleChangedMs > ROLE_DWELL_MS;
 		if (!isDue || state.listOpenChanges().length > 0) {
 			return;
 		}
--- a/src/daemon/host.ts
+++ b/src/daemon/host.ts
@@ -102,7 +102,7 @@
 	async stop(): Promise<void> {
 		const logger = this.#options.loggers('daemon');
 		logger.info('Stops: not ready any more.');
-		this.#control?.handOver();
+		this.#control?.transferLeadership();
 		await this.#entry?.drain(this.#options.settings.limits?.shutdownMs ?? DEFAULT_SHUTDOWN_MS);
 		await this.close();
 		logger.info('Stopped.');
@@ -188,7 +188,7 @@
 		const journal = new Journal();
 		this.#directory = new Directory(host);
 		this.#client = new ControlClient({
-			seeds: settings.control ?? [], clock, onPushed: message => {
+			seeds: settings.control ?? [], clock, onViewPushed: message => {
 				this.#viewTask.push(message);
 			},
 		});
--- a/src/entry/model.ts
+++ b/src/entry/model.ts
@@ -11,7 +11,7 @@
 import {createProblem, type Problem} from '../base/problem.js';
 import {shuffle, type Random} from '../base/random.js';
 import type {
-	Announcement, Fact, Model, Team,
+	Announcement, Fact, ModelSpecification, TeamSpecification,
 } from '../generated/types.js';
 import type {Directory} from '../membership/directory.js';
 import {
@@ -128,7 +128,7 @@
 	/** Waits for admission; the problem says why it was refused. */
 	async admit(id: string, request: CompletionRequest, shape: RequestShape, limits: {team: string; startByMs: number}): Promise<Problem | undefined> {
 		const {view, fleet, clock} = this.#options;
-		const team = view.get('team', limits.team)?.specification as Team | undefined;
+		const team = view.get('team', limits.team)?.specification as TeamSpecification | undefined;
 		const offer = {
 			id,
 			team: limits.team,
@@ -248,7 +248,7 @@
 		this.#deadlineMs = this.#startedMs + this.#readDeadline();
 		const firstTokenMs = Number(readHeader(exchange.request, 'carawayhoist-first-token-ms'));
 		this.#firstTokenMs = firstTokenMs > 0 ? firstTokenMs : undefined;
-		const model = handler.options.view.get('model', request.model)?.specification as Model | undefined;
+		const model = handler.options.view.get('model', request.model)?.specification as ModelSpecification | undefined;
 		this.#targetMs = this.#firstTokenMs ?? model?.firstTokenMs ?? DEFAULT_TARGETS.firstTokenMs;
 		this.#team = readHeader(exchange.request, 'carawayhoist-team') ?? 'default';
 		exchange.response.once('close', () => {
--- a/src/entry/operator.ts
+++ b/src/entry/operator.ts
@@ -13,7 +13,7 @@
 import {formatFaults, validate} from '../base/validate.js';
 import type {ControlClient} from '../control/client.js';
 import type {
-	Members, Peer, Proposed, Resource, ViewUpdate,
+	MembersRequest, Peer, ProposeReply, Resource, ViewUpdate,
 } from '../generated/types.js';
 import type {Directory} from '../membership/directory.js';
 import {
@@ -113,7 +113,7 @@
 	}
 
 	async #read(exchange: Exchange, kind: string | undefined, name: string | undefined): Promise<void> {
-		const listing = await this.#options.client.read(-1)();
+		const listing = await this.#options.client.readResources(-1)();
 		if (Either.isLeft(listing)) {
 			sendProblem(exchange, listing.left);
 			return;
@@ -203,7 +203,7 @@
 		response.once('close', ring);
 		while (!response.destroyed) {
 			const wake = once(alarm, 'ring');
-			const listing = await this.#options.client.read(from)();
+			const listing = await this.#options.client.readResources(from)();
 			const update = Either.isRight(listing) ? listing.right.view : undefined;
 			if (update && (update.version > from || !response.headersSent)) {
 				from = Math.max(from, update.version);
@@ -228,7 +228,7 @@
 	}
 
 	async #handleMembers(exchange: Exchange, body: Buffer): Promise<void> {
-		let message: Omit<Members, 'id'> = {type: 'members', action: 'list'};
+		let message: Omit<MembersRequest, 'id'> = {type: 'members', action: 'list'};
 		if (exchange.method === 'POST') {
 			const parsed = parseJson(body);
 			if (Either.isLeft(parsed)) {
@@ -242,13 +242,13 @@
 				return;
 			}
 
-			const {action, member, replica} = parsed.right as {action: Members['action']; member?: Peer; replica?: string};
+			const {action, member, replica} = parsed.right as {action: MembersRequest['action']; member?: Peer; replica?: string};
 			message = {
 				type: 'members', action, ...(member ? {member} : {}), ...(replica === undefined ? {} : {replica}),
 			};
 		}
 
-		const reply = await this.#options.client.members(message)();
+		const reply = await this.#options.client.manageMembers(message)();
 		if (Either.isLeft(reply)) {
 			sendProblem(exchange, reply.left);
 			return;
@@ -314,7 +314,7 @@
 	response.write(`${JSON.stringify(update)}\n`);
 }
 
-function sendOutcome(exchange: Exchange, proposed: Either.Either<Problem, Proposed>): void {
+function sendOutcome(exchange: Exchange, proposed: Either.Either<Problem, ProposeReply>): void {
 	if (Either.isLeft(proposed)) {
 		sendProblem(exchange, proposed.left);
 		return;
--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -13,7 +13,7 @@
 import {pick, type Random} from '../base/random.js';
 import type {ControlClient} from '../control/client.js';
 import type {
-	Announcement, LedgerAnswer, Route, Service, Settle,
+	Announcement, LedgerOutcome, Route, ServiceSpecification, SettleCommand,
 } from '../generated/types.js';
 import {readHeader, sendProblem, type Exchange} from './exchange.js';
 import type {Fleet} from './fleet.js';
@@ -78,7 +78,7 @@
 	/** Finds the declared route of a call. */
 	findRoute(method: string, path: string): FoundRoute | undefined {
 		for (const resource of this.#options.view.list('service')) {
-			const {routes} = resource.specification as Service;
+			const {routes} = resource.specification as ServiceSpecification;
 			const route = routes.find(candidate => candidate.method === method && matchesPath(candidate.path, path));
 			if (route) {
 				return {service: resource.name, route};
@@ -187,7 +187,7 @@
 		}
 	}
 
-	async #claim(claimed: Claimed, fingerprint: string): Promise<Either.Either<Problem, LedgerAnswer>> {
+	async #claim(claimed: Claimed, fingerprint: string): Promise<Either.Either<Problem, LedgerOutcome>> {
 		const {client, clock, host} = this.#options;
 		const proposed = await client.propose({
 			type: 'claim', at: clock.wallMs(), key: claimed.key, fingerprint, attempt: claimed.attempt, host,
@@ -221,7 +221,7 @@
 		this.#settleInBackground(claimed, {outcome: 'not-run'});
 	}
 
-	#settleInBackground(claimed: Claimed, settlement: Pick<Settle, 'outcome' | 'answer'>): void {
+	#settleInBackground(claimed: Claimed, settlement: Pick<SettleCommand, 'outcome' | 'answer'>): void {
 		const {client, clock} = this.#options;
 		void client.propose({
 			type: 'settle', at: clock.wallMs(), key: claimed.key, attempt: claimed.attempt, ...settlement,
@@ -307,7 +307,7 @@
 	return declared.endsWith('/*') ? path.startsWith(declared.slice(0, -1)) : declared === path;
 }
 
-function createSettlement(end: PlainEnd): Pick<Settle, 'outcome' | 'answer'> {
+function createSettlement(end: PlainEnd): Pick<SettleCommand, 'outcome' | 'answer'> {
 	if (end.type !== 'answer') {
 		return {outcome: end.type};
 	}
@@ -334,7 +334,7 @@
 	}
 }
 
-function describeLedger(known: LedgerAnswer): Either.Either<Problem, PlainAnswer> {
+function describeLedger(known: LedgerOutcome): Either.Either<Problem, PlainAnswer> {
 	switch (known.state) {
 		case 'done': {
 			return known.answer
@@ -358,7 +358,7 @@
 	}
 }
 
-function describeKnown(known: LedgerAnswer): string {
+function describeKnown(known: LedgerOutcome): string {
 	const texts = {
 		granted: 'The key is free.',
 		'in-flight': 'The key is in flight.',
--- a/src/entry/view.ts
+++ b/src/entry/view.ts
@@ -10,10 +10,10 @@
 import type {Logger} from '../base/logger.js';
 import type {ControlClient} from '../control/client.js';
 import {
-	excludesServer, isOpenChange, resourceKey, type Kind,
+	excludesServer, isOpenChange, createResourceKey, type ResourceKind,
 } from '../control/state.js';
 import type {
-	Announcement, Change, ModelDemand, Renewed, Resource, Running, ViewUpdate,
+	Announcement, ChangeSpecification, ModelDemand, RenewReply, Resource, RunningCount, ViewUpdate,
 } from '../generated/types.js';
 
 const NO_VERSION = -1;
@@ -44,18 +44,18 @@
 		}
 
 		for (const resource of update.resources) {
-			this.#resources.set(resourceKey(resource.specification.kind, resource.name), resource);
+			this.#resources.set(createResourceKey(resource.specification.kind, resource.name), resource);
 		}
 
 		this.#version = update.version;
 		return true;
 	}
 
-	get(kind: Kind, name: string): Resource | undefined {
-		return this.#resources.get(resourceKey(kind, name));
+	get(kind: ResourceKind, name: string): Resource | undefined {
+		return this.#resources.get(createResourceKey(kind, name));
 	}
 
-	list(kind?: Kind): Resource[] {
+	list(kind?: ResourceKind): Resource[] {
 		const all = [...this.#resources.values()];
 		return kind === undefined ? all : all.filter(resource => resource.specification.kind === kind);
 	}
@@ -68,7 +68,7 @@
 	/** Servers that an unfinished change or an order concerns. */
 	listChanging(): string[] {
 		const servers = this.list('change').filter(resource => isOpenChange(resource)).flatMap(resource => {
-			const {server, replacement} = resource.specification as Change;
+			const {server, replacement} = resource.specification as ChangeSpecification;
 			return replacement === undefined ? [server] : [server, replacement];
 		});
 		return [...new Set(servers)];
@@ -132,7 +132,7 @@
 	}
 
 	/** Takes a view that the leader sent on its own. */
-	push(message: Renewed): void {
+	push(message: RenewReply): void {
 		if (this.#hasRead) {
 			this.#apply(message);
 			this.#schedule(0);
@@ -142,7 +142,7 @@
 	/** Gives the lease back, so that no change waits for this host any more. */
 	async leave(): Promise<void> {
 		this.#isLeaving = true;
-		await this.#options.client.renew(this.#createRenewal())();
+		await this.#options.client.renewViewLease(this.#createRenewal())();
 	}
 
 	close(): void {
@@ -180,7 +180,7 @@
 
 	/** A restarted host starts from what a majority confirms, not from a replica that may be behind. */
 	async #readFirst(): Promise<void> {
-		const listing = await this.#options.client.read(NO_VERSION)();
+		const listing = await this.#options.client.readResources(NO_VERSION)();
 		if (Either.isRight(listing)) {
 			this.#options.view.apply(listing.right.view);
 			this.#hasRead = true;
@@ -192,7 +192,7 @@
 	async #renewLease(): Promise<void> {
 		// The lease counts from before the request, so that it never outlasts what the leader grants.
 		const askedMs = this.#options.clock.monotonicMs();
-		const renewed = await this.#options.client.renew(this.#createRenewal())();
+		const renewed = await this.#options.client.renewViewLease(this.#createRenewal())();
 		if (Either.isLeft(renewed)) {
 			this.#options.logger.debug('Could not renew the view lease.', {code: renewed.left.code});
 			return;
@@ -203,17 +203,17 @@
 		this.#apply(renewed.right);
 	}
 
-	#createRenewal(): Parameters<ControlClient['renew']>[0] {
+	#createRenewal(): Parameters<ControlClient['renewViewLease']>[0] {
 		const {view, host, boot} = this.#options;
 		const servers = view.listChanging();
-		const running: Running[] = servers.map(server => ({server, count: this.#options.countRunning(server)}));
+		const running: RunningCount[] = servers.map(server => ({server, count: this.#options.countRunning(server)}));
 		const announcements = servers.map(server => this.#options.findAnnouncement(server)).filter(found => found !== undefined);
 		return {
 			type: 'renew', host, boot, version: view.version, running, announcements, demand: this.#options.readDemand(), leaving: this.#isLeaving,
 		};
 	}
 
-	#apply(message: Renewed): void {
+	#apply(message: RenewReply): void {
 		const {view, client, logger} = this.#options;
 		const before = view.version;
 		client.updateMembers(message.members);
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -7,7 +7,7 @@
 import type {Logger} from '../base/logger.js';
 import {shuffle, type Random} from '../base/random.js';
 import type {
-	Endpoint, Fact, Gossip, HostFact, Peer,
+	Endpoint, Fact, GossipMessage, HostFact, Peer,
 } from '../generated/types.js';
 import {ConnectionPool} from '../wire/connection.js';
 import {NOVELTIES, type Directory} from './directory.js';
@@ -65,7 +65,7 @@
 		}
 	}
 
-	receive(message: Gossip): void {
+	receive(message: GossipMessage): void {
 		const {directory, clock} = this.#options;
 		const nowMs = clock.monotonicMs();
 		for (const fact of message.facts) {
@@ -143,7 +143,7 @@
 		return [...known, ...seeds];
 	}
 
-	#send(peers: readonly Peer[], message: Omit<Gossip, 'type' | 'from'>): void {
+	#send(peers: readonly Peer[], message: Omit<GossipMessage, 'type' | 'from'>): void {
 		for (const peer of peers) {
 			this.#pool.send(peer, {type: 'gossip', from: this.#options.self, ...message});
 		}
--- a/src/tool/carawayhoist.ts
+++ b/src/tool/carawayhoist.ts
@@ -12,7 +12,7 @@
 import {createProblem, type Problem} from '../base/problem.js';
 import {VERSION} from '../base/version.js';
 import type {
-	Announcement, Change, Configuration, Peer, Progress, Resource, Specification, ViewUpdate,
+	Announcement, ChangeSpecification, Configuration, Peer, ReplicaProgress, Resource, Specification, ViewUpdate,
 } from '../generated/types.js';
 import {Api} from './client.js';
 import {formatStory, type Story} from './story.js';
@@ -267,7 +267,7 @@
 	].join(''));
 }
 
-async function change(api: Api, action: Change['action'], {rest, options}: {rest: readonly string[]; options: Options}): Promise<Problem | undefined> {
+async function change(api: Api, action: ChangeSpecification['action'], {rest, options}: {rest: readonly string[]; options: Options}): Promise<Problem | undefined> {
 	const specification = createChange(action, rest);
 	if (Either.isLeft(specification)) {
 		return specification.left;
@@ -281,7 +281,7 @@
 	return problem ?? (options.wait ? waitFor(api, name, options) : undefined);
 }
 
-function createChange(action: Change['action'], [server, first, second]: readonly string[]): Either.Either<Problem, Change> {
+function createChange(action: ChangeSpecification['action'], [server, first, second]: readonly string[]): Either.Either<Problem, ChangeSpecification> {
 	if (server === undefined) {
 		return Either.left(createProblem('usage', `${action} needs a server.`));
 	}
@@ -294,7 +294,7 @@
 	switch (action) {
 		case 'role': {
 			return Either.right({
-				kind: 'change', action, server, role: first as Change['role'],
+				kind: 'change', action, server, role: first as ChangeSpecification['role'],
 			});
 		}
 
@@ -331,7 +331,7 @@
 			told++;
 		}
 
-		const isDrain = (specification as Change | undefined)?.action === 'drain';
+		const isDrain = (specification as ChangeSpecification | undefined)?.action === 'drain';
 		if (progress?.phase === 'done' || (isDrain && progress?.phase === 'drained')) {
 			return undefined;
 		}
@@ -361,7 +361,7 @@
 	readonly term: number;
 	readonly commitIndex: number;
 	readonly repair?: string;
-	readonly progress: readonly Progress[];
+	readonly progress: readonly ReplicaProgress[];
 };
 
 async function control(api: Api, [action, ...rest]: readonly string[], options: Options): Promise<Problem | undefined> {
--- a/test/controller.test.ts
+++ b/test/controller.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	ALL_ORDER_MECHANISMS, Controller, DEFAULT_CONTROLLER_TIMING, type ControllerEffect,
+	ALL_ORDER_SAFEGUARDS, Controller, DEFAULT_CONTROLLER_TIMING, type ControllerEffect,
 } from '../src/control/controller.js';
 import {ControlState} from '../src/control/state.js';
 import type {
-	Announcement, Change, Command, Renew,
+	Announcement, ChangeSpecification, Command, RenewRequest,
 } from '../src/generated/types.js';
 
 /** A leader's controller with its state; commands it proposes are applied at once. */
@@ -16,7 +16,7 @@
 	index: number;
 	leaseMs = 500;
 
-	constructor(state = new ControlState(), index = 0, mechanisms = ALL_ORDER_MECHANISMS) {
+	constructor(state = new ControlState(), index = 0, mechanisms = ALL_ORDER_SAFEGUARDS) {
 		this.state = state;
 		this.index = index;
 		this.controller = new Controller(this.nowMs, DEFAULT_CONTROLLER_TIMING, mechanisms);
@@ -27,19 +27,19 @@
 		return this.state.apply(command, this.index);
 	}
 
-	declare(name: string, change: Omit<Change, 'kind'>) {
+	declare(name: string, change: Omit<ChangeSpecification, 'kind'>) {
 		return this.apply({
 			type: 'put', at: 0, requestId: name, name, seen: 0, specification: {kind: 'change', ...change},
 		});
 	}
 
 	/** Lets time pass; entry hosts renew with the newest view. */
-	advance(durationMs: number, renewals: ReadonlyArray<Partial<Renew>> = [{}]): ControllerEffect[] {
+	advance(durationMs: number, renewals: ReadonlyArray<Partial<RenewRequest>> = [{}]): ControllerEffect[] {
 		const effects: ControllerEffect[] = [];
 		for (let passed = 0; passed < durationMs; passed += 100) {
 			this.nowMs += 100;
 			for (const renewal of renewals) {
-				this.controller.renew({...renew(this.state.viewVersion), ...renewal}, this.nowMs);
+				this.controller.renewViewLease({...renew(this.state.viewVersion), ...renewal}, this.nowMs);
 			}
 
 			effects.push(...this.tick());
@@ -64,7 +64,7 @@
 	}
 
 	phase(name: string) {
-		return this.state.find('change', name)?.status?.phase;
+		return this.state.findResource('change', name)?.status?.phase;
 	}
 }
 
@@ -82,7 +82,7 @@
 test('a drain waits for a host that has not acknowledged the view, and no longer than its lease', () => {
 	const leader = new Leader();
 	drain(leader);
-	leader.controller.renew({...renew(0), host: 'late'}, leader.nowMs);
+	leader.controller.renewViewLease({...renew(0), host: 'late'}, leader.nowMs);
 	leader.declare('d', {action: 'drain', server: 'e1'});
 	leader.advance(800, [{announcements: [announce('e1')]}]);
 	assert.equal(leader.phase('d'), 'draining');
@@ -106,10 +106,10 @@
 	leader.declare('r', {action: 'role', server: 'e1', role: 'decode'});
 	const effects = drain(leader);
 	assert.equal(leader.phase('r'), 'ordered');
-	const back = effects.find(effect => effect.type === 'read-back');
-	assert.ok(back?.type === 'read-back');
+	const back = effects.find(effect => effect.type === 'query-order');
+	assert.ok(back?.type === 'query-order');
 	assert.ok(!effects.some(effect => effect.type === 'send-order'));
-	leader.controller.report({type: 'absent', server: 'e1', order: back.order.order}, leader.authority());
+	leader.controller.handleReport({type: 'absent', server: 'e1', order: back.order.order}, leader.authority());
 	const sent = leader.advance(1200).find(effect => effect.type === 'send-order');
 	assert.ok(sent?.type === 'send-order');
 	settle(leader, sent.order.order);
@@ -119,10 +119,10 @@
 test('an order without an answer is read back, and no other order goes to that engine meanwhile', () => {
 	const leader = new Leader();
 	const order = sendOrder(leader, 'r');
-	leader.controller.report({type: 'lost', server: 'e1', order}, leader.authority());
+	leader.controller.handleReport({type: 'lost', server: 'e1', order}, leader.authority());
 	assert.equal(leader.declare('other', {action: 'role', server: 'e1', role: 'prefill'}).type, 'conflict');
 	const effects = leader.advance(5000);
-	assert.ok(effects.some(effect => effect.type === 'read-back'));
+	assert.ok(effects.some(effect => effect.type === 'query-order'));
 	assert.ok(!effects.some(effect => effect.type === 'send-order'));
 });
 
@@ -140,10 +140,10 @@
 	const old = new Leader();
 	const order = sendOrder(old, 'r');
 	const next = new Leader(old.state, old.index);
-	next.controller.renew({...renew(next.state.viewVersion), announcements: [announce('e1', 0, false)]}, next.nowMs);
+	next.controller.renewViewLease({...renew(next.state.viewVersion), announcements: [announce('e1', 0, false)]}, next.nowMs);
 	next.tick();
-	next.controller.report({type: 'absent', server: 'e1', order}, next.authority());
-	const {authorityMs, orderTransitMs} = DEFAULT_CONTROLLER_TIMING;
+	next.controller.handleReport({type: 'absent', server: 'e1', order}, next.authority());
+	const {leaderLeaseMs: authorityMs, orderTransitMs} = DEFAULT_CONTROLLER_TIMING;
 	assert.ok(!next.advance(authorityMs + orderTransitMs - 200).some(effect => effect.type === 'send-order'));
 	assert.ok(next.advance(1500).some(effect => effect.type === 'send-order'));
 });
@@ -151,11 +151,11 @@
 test('without the wait a new leader orders while its predecessor still may', () => {
 	const old = new Leader();
 	const order = sendOrder(old, 'r');
-	const next = new Leader(old.state, old.index, {...ALL_ORDER_MECHANISMS, waitOutLease: false});
-	next.controller.renew({...renew(next.state.viewVersion), announcements: [announce('e1', 0, false)]}, next.nowMs);
+	const next = new Leader(old.state, old.index, {...ALL_ORDER_SAFEGUARDS, awaitLeaseExpiry: false});
+	next.controller.renewViewLease({...renew(next.state.viewVersion), announcements: [announce('e1', 0, false)]}, next.nowMs);
 	next.tick();
-	next.controller.report({type: 'absent', server: 'e1', order}, next.authority());
-	const {authorityMs, orderTransitMs} = DEFAULT_CONTROLLER_TIMING;
+	next.controller.handleReport({type: 'absent', server: 'e1', order}, next.authority());
+	const {leaderLeaseMs: authorityMs, orderTransitMs} = DEFAULT_CONTROLLER_TIMING;
 	assert.ok(next.advance(authorityMs + orderTransitMs - 200).some(effect => effect.type === 'send-order'));
 });
 
@@ -199,7 +199,7 @@
 	assert.equal(leader.state.ledger.find('k')?.state, 'claimed');
 });
 
-function renew(version: number): Renew {
+function renew(version: number): RenewRequest {
 	return {
 		type: 'renew', id: 1, host: 'entry', boot: 'boot', version, running: [], leaving: false,
 	};
@@ -213,7 +213,7 @@
 }
 
 /** Lets enough time pass for a drain, with fresh announcements. */
-function drain(leader: Leader, renewal: Partial<Renew> = {}, running = 0, checksFence = true): ControllerEffect[] {
+function drain(leader: Leader, renewal: Partial<RenewRequest> = {}, running = 0, checksFence = true): ControllerEffect[] {
 	const effects: ControllerEffect[] = [];
 	for (let round = 0; round < 25; round++) {
 		effects.push(...leader.advance(100, [{...renewal, announcements: [announce('e1', running, checksFence)]}]));
@@ -224,7 +224,7 @@
 
 function reportAbsent(leader: Leader): ControllerEffect[] {
 	const [order] = leader.state.listOpenOrders();
-	leader.controller.report({type: 'absent', server: order!.server, order: order!.order}, leader.authority());
+	leader.controller.handleReport({type: 'absent', server: order!.server, order: order!.order}, leader.authority());
 	return leader.advance(1200);
 }
 
@@ -237,7 +237,7 @@
 }
 
 function settle(leader: Leader, order: number): void {
-	for (const effect of leader.controller.report({
+	for (const effect of leader.controller.handleReport({
 		type: 'done', server: 'e1', order, note: 'done',
 	}, leader.authority())) {
 		if (effect.type === 'propose') {
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {Ledger, LEDGER_RETENTION_MS} from '../src/control/ledger.js';
-import type {Claim, Settle} from '../src/generated/types.js';
+import type {ClaimCommand, SettleCommand} from '../src/generated/types.js';
 
 test('a key is granted once, and a resend gets the stored answer', () => {
 	const ledger = new Ledger();
@@ -67,7 +67,7 @@
 	ledger.claim(claim('a/1'));
 	ledger.settle(settle('a/1', 'done'));
 	ledger.claim({...claim('a/2'), key: 'open'});
-	ledger.expire(1000 + LEDGER_RETENTION_MS);
+	ledger.removeExpired(1000 + LEDGER_RETENTION_MS);
 	assert.equal(ledger.find('key'), undefined);
 	assert.equal(ledger.find('open')?.state, 'claimed');
 });
@@ -76,18 +76,18 @@
 	const ledger = new Ledger();
 	ledger.claim(claim('a/1'));
 	ledger.settle(settle('b/9', 'not-run'));
-	const copy = new Ledger(ledger.save());
+	const copy = new Ledger(ledger.createSnapshot());
 	assert.equal(copy.claim(claim('b/1')).state, 'in-flight');
 	assert.equal(copy.claim(claim('b/9')).state, 'not-run');
 });
 
-function claim(attempt: string): Claim {
+function claim(attempt: string): ClaimCommand {
 	return {
 		type: 'claim', at: 1000, key: 'key', fingerprint: 'f', attempt, host: attempt.split('/')[0]!,
 	};
 }
 
-function settle(attempt: string, outcome: Settle['outcome']): Settle {
+function settle(attempt: string, outcome: SettleCommand['outcome']): SettleCommand {
 	return {
 		type: 'settle', at: 1000, key: 'key', attempt, outcome,
 	};
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createRandom} from '../src/base/random.js';
-import {hasQuorum, quorumValue} from '../src/consensus/configuration.js';
-import {ALL_MECHANISMS, type Mechanisms} from '../src/consensus/mechanisms.js';
-import {Replica, type Effect, type Event} from '../src/consensus/replica.js';
-import {EMPTY_IMAGE, EMPTY_SNAPSHOT} from '../src/consensus/storage.js';
+import {hasQuorum, findQuorumValue} from '../src/consensus/configuration.js';
+import {ALL_SAFEGUARDS, type Safeguards} from '../src/consensus/safeguards.js';
+import {Replica, type ReplicaEffect, type ReplicaEvent} from '../src/consensus/replica.js';
+import {EMPTY_PERSISTENT_STATE, EMPTY_SNAPSHOT} from '../src/consensus/storage.js';
 import type {Configuration, ConsensusBody, Member} from '../src/generated/types.js';
 
 const [a, b, c, d] = ['a', 'b', 'c', 'd'].map(name => createMember(name)) as [Member, Member, Member, Member];
@@ -17,17 +17,17 @@
 	readonly cut = new Set<string>();
 	nowMs = 0;
 
-	constructor(configuration: Configuration, names: readonly string[], mechanisms: Mechanisms = ALL_MECHANISMS) {
+	constructor(configuration: Configuration, names: readonly string[], mechanisms: Safeguards = ALL_SAFEGUARDS) {
 		for (const [index, name] of names.entries()) {
 			this.committed.set(name, []);
 			this.replicas.set(name, new Replica({
 				replica: name,
-				hard: EMPTY_IMAGE.hard,
+				hard: EMPTY_PERSISTENT_STATE.hard,
 				snapshot: {...EMPTY_SNAPSHOT, configuration},
 				entries: [],
 				nowMs: 0,
 				random: createRandom(index + 1),
-				mechanisms,
+				safeguards: mechanisms,
 			}));
 		}
 	}
@@ -36,7 +36,7 @@
 		return [...this.replicas.values()].find(replica => replica.role === 'leader' && !this.cut.has(replica.id));
 	}
 
-	step(name: string, event: Event): Effect[] {
+	step(name: string, event: ReplicaEvent): ReplicaEffect[] {
 		const effects = this.replicas.get(name)!.step(event, this.nowMs);
 		for (const effect of effects) {
 			this.#run(name, effect);
@@ -55,7 +55,7 @@
 		}
 	}
 
-	#run(name: string, effect: Effect): void {
+	#run(name: string, effect: ReplicaEffect): void {
 		if (effect.type === 'write') {
 			this.step(name, {type: 'synced', sequence: effect.sequence});
 		}
@@ -101,9 +101,9 @@
 	const cluster = new Cluster(THREE, ['a', 'b', 'c']);
 	cluster.advance(3000);
 	const leader = cluster.leader!;
-	assert.ok(leader.leaseUntilMs(cluster.nowMs) > cluster.nowMs);
+	assert.ok(leader.getLeaseExpiryMs(cluster.nowMs) > cluster.nowMs);
 	// A paused process runs no timer: only the time is later.
-	assert.ok(leader.leaseUntilMs(cluster.nowMs) < cluster.nowMs + leader.timing.electionMs);
+	assert.ok(leader.getLeaseExpiryMs(cluster.nowMs) < cluster.nowMs + leader.timing.electionMs);
 });
 
 test('a cut-off replica that comes back does not depose the leader (pre-vote)', () => {
@@ -125,7 +125,7 @@
 		type: 'append-request', term: 1, round: 1, previousIndex: 0, previousTerm: 0, commitIndex: 0, entries: [{type: 'noop', index: 1, term: 1}],
 	};
 	for (const syncBeforeReply of [true, false]) {
-		const replica = createReplica('a', {...ALL_MECHANISMS, syncBeforeReply});
+		const replica = createReplica('a', {...ALL_SAFEGUARDS, syncBeforeReply});
 		const effects = replica.step({type: 'message', from: 'b', body: request}, 10);
 		assert.equal(effects.some(effect => effect.type === 'send'), !syncBeforeReply);
 		const released = replica.step({type: 'synced', sequence: 99}, 20);
@@ -139,15 +139,15 @@
 	const writes = effects.flatMap(effect => effect.type === 'write' ? effect.records : []);
 	const hard = writes.findLast(record => record.type === 'hard')!;
 	assert.deepEqual(hard.state, {term: 1, vote: 'b'});
-	const again = createReplica('a', ALL_MECHANISMS, hard.state);
+	const again = createReplica('a', ALL_SAFEGUARDS, hard.state);
 	assert.deepEqual(grantsOf(again, 'c', 5000), [false]);
 	assert.deepEqual(grantsOf(again, 'b', 5000), [true]);
 });
 
 test('a restarted replica grants no vote for one election timeout: it may have promised a lease', () => {
-	for (const leaseRespected of [true, false]) {
-		const replica = createReplica('a', {...ALL_MECHANISMS, leaseRespected});
-		assert.deepEqual(grantsOf(replica, 'b', 100), [!leaseRespected]);
+	for (const respectLease of [true, false]) {
+		const replica = createReplica('a', {...ALL_SAFEGUARDS, respectLease});
+		assert.deepEqual(grantsOf(replica, 'b', 100), [!respectLease]);
 	}
 });
 
@@ -159,7 +159,7 @@
 });
 
 test('entries of an older term are not committed by counting, and are without the mechanism', () => {
-	for (const ownTermCommit of [true, false]) {
+	for (const commitOwnTermOnly of [true, false]) {
 		const replica = new Replica({
 			replica: 'a',
 			hard: {term: 1, vote: ''},
@@ -167,7 +167,7 @@
 			entries: [{type: 'noop', index: 1, term: 1}],
 			nowMs: 0,
 			random: createRandom(1),
-			mechanisms: {...ALL_MECHANISMS, ownTermCommit},
+			safeguards: {...ALL_SAFEGUARDS, commitOwnTermOnly},
 		});
 		replica.step({type: 'tick'}, 5000);
 		for (const preVote of [true, false]) {
@@ -187,20 +187,20 @@
 			},
 		}, 5000);
 		reply(1);
-		assert.equal(replica.commitIndex, ownTermCommit ? 0 : 1);
+		assert.equal(replica.commitIndex, commitOwnTermOnly ? 0 : 1);
 		reply(2);
 		assert.equal(replica.commitIndex, 2);
 	}
 });
 
 test('a read waits for a majority that confirms the leader after it came in, and does not without the mechanism', () => {
-	for (const readIndex of [true, false]) {
-		const cluster = new Cluster(THREE, ['a', 'b', 'c'], {...ALL_MECHANISMS, readIndex});
+	for (const confirmReads of [true, false]) {
+		const cluster = new Cluster(THREE, ['a', 'b', 'c'], {...ALL_SAFEGUARDS, confirmReads});
 		cluster.advance(3000);
 		const leader = cluster.leader!;
 		cluster.cut.add(leader.id);
 		const isAnswered = cluster.step(leader.id, {type: 'read', id: 1}).some(effect => effect.type === 'read');
-		assert.equal(isAnswered, !readIndex);
+		assert.equal(isAnswered, !confirmReads);
 	}
 });
 
@@ -208,10 +208,10 @@
 	const cluster = new Cluster(THREE, ['a', 'b', 'c']);
 	cluster.advance(3000);
 	const old = cluster.leader!;
-	cluster.step(old.id, {type: 'hand-over'});
+	cluster.step(old.id, {type: 'transfer-leadership'});
 	assert.ok(cluster.leader);
 	assert.notEqual(cluster.leader.id, old.id);
-	assert.equal(old.leaseUntilMs(cluster.nowMs), Number.NEGATIVE_INFINITY);
+	assert.equal(old.getLeaseExpiryMs(cluster.nowMs), Number.NEGATIVE_INFINITY);
 });
 
 test('a hand-over that came to nothing ends in an election', () => {
@@ -219,11 +219,11 @@
 	const cluster = new Cluster(THREE, ['a', 'b', 'c']);
 	cluster.advance(3000);
 	const old = cluster.leader!;
-	const target = old.step({type: 'hand-over'}, cluster.nowMs).find(effect => effect.type === 'send');
+	const target = old.step({type: 'transfer-leadership'}, cluster.nowMs).find(effect => effect.type === 'send');
 	assert.equal(target?.body.type, 'timeout-now');
 	cluster.advance(5000);
 	const leader = cluster.leader!;
-	assert.ok(leader.leaseUntilMs(cluster.nowMs) > cluster.nowMs);
+	assert.ok(leader.getLeaseExpiryMs(cluster.nowMs) > cluster.nowMs);
 });
 
 test('a lagging replica is brought up by a snapshot', () => {
@@ -252,7 +252,7 @@
 	const right = new Set(['c', 'd']);
 	assert.ok(hasQuorum(old, name => left.has(name)) && hasQuorum(swapped, name => right.has(name)));
 	assert.ok(!hasQuorum(joint, name => right.has(name)));
-	assert.equal(quorumValue(joint, name => ({
+	assert.equal(findQuorumValue(joint, name => ({
 		a: 9, b: 9, c: 1, d: 1,
 	})[name] ?? 0), 1);
 });
@@ -261,15 +261,15 @@
 	const cluster = new Cluster(THREE, ['a', 'b', 'c', 'd']);
 	// The fourth replica starts blank.
 	cluster.replicas.set('d', new Replica({
-		replica: 'd', hard: EMPTY_IMAGE.hard, snapshot: EMPTY_SNAPSHOT, entries: [], nowMs: 0, random: createRandom(4),
+		replica: 'd', hard: EMPTY_PERSISTENT_STATE.hard, snapshot: EMPTY_SNAPSHOT, entries: [], nowMs: 0, random: createRandom(4),
 	}));
 	cluster.advance(3000);
 	const leader = cluster.leader!;
 	const removed = THREE.voters.find(member => member.replica !== leader.id)!;
-	cluster.step(leader.id, {type: 'configure', configuration: {...THREE, learners: [d]}});
+	cluster.step(leader.id, {type: 'propose-configuration', configuration: {...THREE, learners: [d]}});
 	cluster.advance(500);
 	const voters = [...THREE.voters.filter(member => member !== removed), d];
-	cluster.step(leader.id, {type: 'configure', configuration: {voters, outgoing: THREE.voters, learners: []}});
+	cluster.step(leader.id, {type: 'propose-configuration', configuration: {voters, outgoing: THREE.voters, learners: []}});
 	cluster.advance(500);
 	assert.deepEqual(leader.configuration, {voters, outgoing: [], learners: []});
 	assert.equal(cluster.replicas.get('d')!.commitIndex, leader.commitIndex);
@@ -281,13 +281,13 @@
 	};
 }
 
-function createReplica(replica: string, mechanisms: Mechanisms = ALL_MECHANISMS, hard = EMPTY_IMAGE.hard): Replica {
+function createReplica(replica: string, mechanisms: Safeguards = ALL_SAFEGUARDS, hard = EMPTY_PERSISTENT_STATE.hard): Replica {
 	return new Replica({
-		replica, hard, snapshot: {...EMPTY_SNAPSHOT, configuration: THREE}, entries: [], nowMs: 0, random: createRandom(1), mechanisms,
+		replica, hard, snapshot: {...EMPTY_SNAPSHOT, configuration: THREE}, entries: [], nowMs: 0, random: createRandom(1), safeguards: mechanisms,
 	});
 }
 
-function propose(text: string): Event {
+function propose(text: string): ReplicaEvent {
 	return {type: 'propose', data: [new TextEncoder().encode(text)]};
 }
 
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {ControlState, resourceKey} from '../src/control/state.js';
+import {ControlState, createResourceKey} from '../src/control/state.js';
 import {View} from '../src/entry/view.js';
-import type {Command, Put} from '../src/generated/types.js';
+import type {Command, PutCommand} from '../src/generated/types.js';
 import {decodeValue, encodeValue} from '../src/wire/frame.js';
 import {assertSnapshot} from './snapshot.js';
 
@@ -21,7 +21,7 @@
 	const lost = state.apply(put('p2', 0), 2);
 	assert.deepEqual(state.apply(put('p1', 0), 3), won);
 	assert.deepEqual(state.apply(put('p2', 0), 4), lost);
-	assert.equal(state.find('team', 'x')?.version, 1);
+	assert.equal(state.findResource('team', 'x')?.version, 1);
 });
 
 test('a watch resumed from any version ends in the same configuration', () => {
@@ -34,11 +34,11 @@
 			}
 			: {...put(`p${index}`, -1), name: `t${index % 7}`};
 		state.apply(command, index);
-		views[index - 1]!.apply(state.updateSince(-1));
+		views[index - 1]!.apply(state.createViewUpdate(-1));
 	}
 
 	for (const view of views) {
-		view.apply(state.updateSince(view.version));
+		view.apply(state.createViewUpdate(view.version));
 		assert.deepEqual(names(view), names(views[39]!));
 	}
 });
@@ -46,12 +46,12 @@
 test('a view takes no older update and none that builds on a later version', () => {
 	const state = new ControlState();
 	state.apply(put('p1', 0), 1);
-	const old = state.updateSince(-1);
+	const old = state.createViewUpdate(-1);
 	state.apply(put('p2', 1), 2);
 	const view = new View();
-	assert.ok(view.apply(state.updateSince(-1)));
+	assert.ok(view.apply(state.createViewUpdate(-1)));
 	assert.ok(!view.apply(old));
-	assert.ok(!new View().apply(state.updateSince(1)));
+	assert.ok(!new View().apply(state.createViewUpdate(1)));
 	assert.equal(view.version, 2);
 });
 
@@ -64,8 +64,8 @@
 	state.apply({
 		type: 'put', at: 0, requestId: 'c', name: 'c', seen: 0, specification: {kind: 'change', action: 'drain', server: 'e1'},
 	}, 3);
-	const copy = new ControlState(decodeValue(encodeValue(state.save())) as ReturnType<ControlState['save']>);
-	assert.deepEqual(copy.save(), state.save());
+	const copy = new ControlState(decodeValue(encodeValue(state.createSnapshot())) as ReturnType<ControlState['createSnapshot']>);
+	assert.deepEqual(copy.createSnapshot(), state.createSnapshot());
 	assert.deepEqual(copy.apply(put('p1', 0), 4), answer);
 });
 
@@ -103,15 +103,15 @@
 		state.apply(command, index + 1);
 	}
 
-	await assertSnapshot('story-of-a-role-change', state.find('change', 'night'));
+	await assertSnapshot('story-of-a-role-change', state.findResource('change', 'night'));
 });
 
-function put(requestId: string, seen: number): Put {
+function put(requestId: string, seen: number): PutCommand {
 	return {
 		type: 'put', at: 0, requestId, name: 'x', seen, specification: {kind: 'team', weight: Number(requestId.slice(1))},
 	};
 }
 
 function names(view: View): string[] {
-	return view.list().map(({name, version, specification}) => `${resourceKey(specification.kind, name)}@${version}`).toSorted();
+	return view.list().map(({name, version, specification}) => `${createResourceKey(specification.kind, name)}@${version}`).toSorted();
 }
--- a/test/storage.test.ts
+++ b/test/storage.test.ts
@@ -8,7 +8,7 @@
 import {test} from 'node:test';
 import * as Either from 'fp-ts/lib/Either.js';
 import type {LogRecord} from '../src/consensus/replica.js';
-import {EMPTY_SNAPSHOT, readIdentity, Storage} from '../src/consensus/storage.js';
+import {EMPTY_SNAPSHOT, loadOrCreateIdentity, Storage} from '../src/consensus/storage.js';
 import type {CommandEntry} from '../src/generated/types.js';
 
 test('what was synced is there after opening again', async () => {
@@ -68,7 +68,7 @@
 		const at = Math.floor(bytes.length / 2) - 8;
 		bytes[at] = 255 - bytes[at]!;
 		await writeFile(file, bytes);
-		const opened = await Storage.open(folder, {onSynced: () => undefined, onFailed: () => undefined});
+		const opened = await Storage.open(folder, {onSynced: () => undefined, onWriteFailure: () => undefined});
 		assert.ok(Either.isLeft(opened));
 		assert.equal(opened.left.code, 1101);
 	});
@@ -93,7 +93,7 @@
 		const opened = await Storage.open(folder, {
 			onSynced(sequence) {
 				synced.emit('synced', sequence);
-			}, onFailed(problem) {
+			}, onWriteFailure(problem) {
 				failed.push(problem.code);
 			},
 		});
@@ -111,10 +111,10 @@
 
 test('the identity is made in the folder and stays with it', async () => {
 	await withFolder(async folder => {
-		const first = await readIdentity(folder);
-		assert.deepEqual(await readIdentity(folder), first);
+		const first = await loadOrCreateIdentity(folder);
+		assert.deepEqual(await loadOrCreateIdentity(folder), first);
 		await rm(folder, {recursive: true});
-		assert.notDeepEqual(await readIdentity(folder), first);
+		assert.notDeepEqual(await loadOrCreateIdentity(folder), first);
 	});
 });
 
@@ -125,10 +125,10 @@
 }
 
 async function openImage(folder: string) {
-	const opened = await Storage.open(folder, {onSynced: () => undefined, onFailed: () => undefined});
+	const opened = await Storage.open(folder, {onSynced: () => undefined, onWriteFailure: () => undefined});
 	assert.ok(Either.isRight(opened));
 	await opened.right.close();
-	return opened.right.image;
+	return opened.right.persistentState;
 }
 
 /** Writes batches one after the other, each synced before the next. */
@@ -137,7 +137,7 @@
 	const opened = await Storage.open(folder, {
 		onSynced() {
 			resolve();
-		}, onFailed: () => undefined,
+		}, onWriteFailure: () => undefined,
 	});
 	assert.ok(Either.isRight(opened));
 	for (const [index, records] of batches.entries()) {
