--- a/dev/fuzz/mutations.ts
+++ b/dev/fuzz/mutations.ts
@@ -35,7 +35,7 @@
  * consensusMechanisms('vote-not-kept').persistHardState; // false
  * ```
  */
-export function consensusMechanisms(mutation: Mutation | undefined): Safeguards {
+export function createConsensusMechanisms(mutation: Mutation | undefined): Safeguards {
 	return {
 		...ALL_SAFEGUARDS,
 		syncBeforeReply: mutation !== 'no-sync-before-reply',
@@ -57,7 +57,7 @@
  * orderMechanisms('no-read-back').readBack; // false
  * ```
  */
-export function orderMechanisms(mutation: Mutation | undefined): OrderSafeguards {
+export function createOrderMechanisms(mutation: Mutation | undefined): OrderSafeguards {
 	return {
 		...ALL_ORDER_SAFEGUARDS,
 		awaitLeaseExpiry: mutation !== 'no-lease-wait-out',
