--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -12,7 +12,7 @@
 import path from 'node:path';
 import process from 'node:process';
 import {parseArgs} from 'node:util';
-import {PROFILES} from '../src/routing/roles.js';
+import {ROLE_PROFILES} from '../src/routing/roles.js';
 import {
 	ALL_FEATURES, GreedyPolicy, NaivePolicy, OwnPolicy, type Features, type Policy,
 } from './policy/policies.js';
@@ -34,15 +34,15 @@
 	},
 });
 
-type ProfileName = keyof typeof PROFILES;
+type ProfileName = keyof typeof ROLE_PROFILES;
 type Row = Omit<Result, 'unanswered' | 'enginesLost' | 'lateFirst'> & {readonly trace: TraceName; readonly profile: ProfileName; readonly seed: number; readonly policy: string};
 
 const traces = values.trace === undefined ? TRACE_NAMES : TRACE_NAMES.filter(name => name === values.trace);
 const profiles = (values.profile === undefined ? ['tallgrass', 'hrafnsvik'] : [values.profile]) as ProfileName[];
 const seeds = Array.from({length: Number(values.seeds)}, (_, index) => Number(values.seed) + index);
 
-if (traces.length === 0 || profiles.some(name => !(name in PROFILES))) {
-	console.error(`Traces: ${TRACE_NAMES.join(', ')}. Profiles: ${Object.keys(PROFILES).join(', ')}.`);
+if (traces.length === 0 || profiles.some(name => !(name in ROLE_PROFILES))) {
+	console.error(`Traces: ${TRACE_NAMES.join(', ')}. Profiles: ${Object.keys(ROLE_PROFILES).join(', ')}.`);
 	process.exit(2);
 }
 
@@ -70,7 +70,7 @@
 function runAll(name: TraceName, profile: ProfileName, seed: number): Row[] {
 	const trace = generateTrace(name, seed);
 	const policies: Array<readonly [string, Policy]> = [
-		['carawayhoist', new OwnPolicy(PROFILES[profile], seed)],
+		['carawayhoist', new OwnPolicy(ROLE_PROFILES[profile], seed)],
 		['naive', new NaivePolicy()],
 		['greedy', new GreedyPolicy()],
 	];
@@ -116,7 +116,7 @@
 	for (const name of traces) {
 		for (const profile of profiles) {
 			for (const [title, set] of features) {
-				const results = seeds.map(seed => simulate(generateTrace(name, seed), new OwnPolicy(PROFILES[profile], seed, set)));
+				const results = seeds.map(seed => simulate(generateTrace(name, seed), new OwnPolicy(ROLE_PROFILES[profile], seed, set)));
 				const {mean, deviation} = describeSpread(results.map(({goodput}) => goodput));
 				const changes = describeSpread(results.map(({roleChanges}) => roleChanges)).mean;
 				const late = describeSpread(results.map(result => result.late)).mean;
--- a/bench/policy/engine.ts
+++ b/bench/policy/engine.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type {EngineRole, Speed} from '../../src/routing/choice.js';
+import type {EngineRole, EngineSpeed} from '../../src/routing/choice.js';
 import type {LoadReport} from '../../src/routing/load.js';
 
 export type EngineJob = {
@@ -30,7 +30,7 @@
 };
 
 /** What an engine of this kind can do; the same numbers that the policy starts from. */
-export const ENGINE_SPEED: Speed = {prefillTokensPerMs: 16, stepMs: 14, stepMsPerRequest: 0.2};
+export const ENGINE_SPEED: EngineSpeed = {prefillTokensPerMs: 16, stepMs: 14, stepMsPerRequest: 0.2};
 export const MAX_RUNNING = 52;
 export const KV_TOKENS = 64_000;
 export const AWAY_MS = 4000;
--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -5,14 +5,14 @@
  */
 import {createRandom, type Random} from '../../src/base/random.js';
 import {
-	chooseEngine, DEFAULT_CHOICE, DEFAULT_TARGETS, isPrefillWork, meetsTargets, type Candidate, type ChoiceOptions, type EngineRole,
+	chooseEngine, DEFAULT_CHOICE_OPTIONS, DEFAULT_LATENCY_TARGETS, isPrefillWork, meetsTargets, type Candidate, type ChoiceOptions, type EngineRole,
 } from '../../src/routing/choice.js';
 import {placeContinuation, placeRequest} from '../../src/routing/handoff.js';
-import {PromiseMargin} from '../../src/routing/limit.js';
+import {AdmissionMargin} from '../../src/routing/admission.js';
 import {LoadTracker} from '../../src/routing/load.js';
-import {findHome, PrefixIndex} from '../../src/routing/prefix.js';
+import {findPrefixOwner, PrefixIndex} from '../../src/routing/prefix.js';
 import {
-	chooseRoleChange, DemandMeter, estimateWork, type Demand, type RoleProfile,
+	chooseRoleChange, DemandEstimator, estimateEngineTime, type Demand, type RoleProfile,
 } from '../../src/routing/roles.js';
 import {ENGINE_SPEED, KV_TOKENS, type SimulatedEngine} from './engine.js';
 import type {TraceRequest} from './trace.js';
@@ -79,7 +79,7 @@
 
 	readonly #hosts = Array.from({length: ENTRY_HOSTS}, () => new LoadTracker());
 	readonly #hostOf = new Map<number, LoadTracker>();
-	readonly #meter = new DemandMeter(5000, 0);
+	readonly #meter = new DemandEstimator(5000, 0);
 	#next = 0;
 	#host = this.#hosts[0]!;
 
@@ -103,24 +103,24 @@
 
 	noteSent(request: TraceRequest, id: number, engine: SimulatedEngine, nowMs: number): void {
 		this.#hostOf.set(id, this.#host);
-		this.#host.begin(engine.name, String(id), {promptTokens: request.promptTokens, prefillTokens: request.promptTokens, outputTokens: request.outputTokens}, nowMs);
+		this.#host.startRequest(engine.name, String(id), {promptTokens: request.promptTokens, prefillTokens: request.promptTokens, outputTokens: request.outputTokens}, nowMs);
 	}
 
 	noteEnd(_request: TraceRequest, id: number, engine: SimulatedEngine): void {
-		this.#hostOf.get(id)?.end(engine.name, String(id));
+		this.#hostOf.get(id)?.endRequest(engine.name, String(id));
 		this.#hostOf.delete(id);
 	}
 
 	noteReports(engines: readonly SimulatedEngine[], nowMs: number): void {
 		for (const host of this.#hosts) {
 			for (const engine of engines) {
-				host.report(engine.name, engine.load, nowMs);
+				host.recordReport(engine.name, engine.load, nowMs);
 			}
 		}
 	}
 
 	changeRoles(engines: readonly SimulatedEngine[], nowMs: number): RoleStep[] {
-		const {prefill, decode} = this.#meter.read(nowMs);
+		const {prefill, decode} = this.#meter.current(nowMs);
 		const share = prefill / Math.max(0.01, prefill + decode);
 		const wanted = Math.min(engines.length - 1, Math.max(1, Math.round(engines.length * share)));
 		const prefilling = engines.filter(engine => engine.role === 'prefill');
@@ -157,7 +157,7 @@
 	readonly loads: LoadTracker;
 	readonly prefixes: PrefixIndex;
 	/** Margins of work that is mostly prompt and of other work. */
-	readonly margins: {readonly prefill: PromiseMargin; readonly decode: PromiseMargin};
+	readonly margins: {readonly prefill: AdmissionMargin; readonly decode: AdmissionMargin};
 };
 
 const METER_WINDOW_MS = 8000;
@@ -176,7 +176,7 @@
 	readonly #hosts: EntryHost[] = [];
 	readonly #hostOf = new Map<number, EntryHost>();
 	readonly #placedBy = new Map<TraceRequest, EntryHost>();
-	readonly #meter = new DemandMeter(METER_WINDOW_MS, 0);
+	readonly #meter = new DemandEstimator(METER_WINDOW_MS, 0);
 	readonly #choice: ChoiceOptions;
 	#lastChangeMs = 0;
 	#next = 0;
@@ -188,13 +188,13 @@
 		this.#random = createRandom(seed);
 		for (let index = 0; index < ENTRY_HOSTS; index++) {
 			this.#hosts.push({
-				loads: new LoadTracker(), prefixes: new PrefixIndex(600), margins: {prefill: new PromiseMargin(), decode: new PromiseMargin()},
+				loads: new LoadTracker(), prefixes: new PrefixIndex(600), margins: {prefill: new AdmissionMargin(), decode: new AdmissionMargin()},
 			});
 		}
 
 		this.#host = this.#hosts[0]!;
 		this.#choice = {
-			...DEFAULT_CHOICE, usePrefix: features.prefix, respectRoles: features.roles, sampleSize: features.sampling ? DEFAULT_CHOICE.sampleSize : 1000,
+			...DEFAULT_CHOICE_OPTIONS, usePrefixCache: features.prefix, respectRoles: features.roles, sampleSize: features.sampling ? DEFAULT_CHOICE_OPTIONS.sampleSize : 1000,
 		};
 	}
 
@@ -209,7 +209,7 @@
 		const placement = this.#features.handoff
 			? placeRequest(shape, candidates, this.#random, this.#choice)
 			: wrap(chooseEngine(shape, candidates, this.#random, this.#choice));
-		if (!placement || (this.#features.refusal && !meetsTargets(placement.first.cost, DEFAULT_TARGETS, this.#features.margin ? this.#marginOf(request).share : 1))) {
+		if (!placement || (this.#features.refusal && !meetsTargets(placement.first.cost, DEFAULT_LATENCY_TARGETS, this.#features.margin ? this.#marginOf(request).share : 1))) {
 			return {type: 'refuse'};
 		}
 
@@ -227,7 +227,7 @@
 		this.#hostOf.set(id, this.#host);
 		const cached = this.#features.prefix ? this.#expectCached(engine, request) * 64 : 0;
 		if (this.#features.ownWork) {
-			this.#host.loads.begin(engine.name, String(id), {
+			this.#host.loads.startRequest(engine.name, String(id), {
 				promptTokens: request.promptTokens, prefillTokens: Math.max(0, request.promptTokens - cached), outputTokens: request.outputTokens,
 			}, nowMs);
 		}
@@ -236,17 +236,17 @@
 	noteFirstToken(id: number, engine: SimulatedEngine, nowMs: number): void {
 		// The head of an answer carries the engine's load at that moment.
 		const loads = this.#hostOf.get(id)?.loads;
-		loads?.noteFirstToken(engine.name, String(id));
-		loads?.report(engine.name, engine.load, nowMs);
+		loads?.recordFirstToken(engine.name, String(id));
+		loads?.recordReport(engine.name, engine.load, nowMs);
 	}
 
 	noteEnd(request: TraceRequest, id: number, engine: SimulatedEngine, cachedBlocks: number | undefined): void {
 		const host = this.#hostOf.get(id);
 		const blocks = blocksOf(request);
-		host?.loads.end(engine.name, String(id));
+		host?.loads.endRequest(engine.name, String(id));
 		if (cachedBlocks !== undefined) {
-			host?.prefixes.confirm(engine.name, host.prefixes.countSeen(blocks), cachedBlocks);
-			host?.prefixes.note(engine.name, blocks);
+			host?.prefixes.recordHits(engine.name, host.prefixes.countSeen(blocks), cachedBlocks);
+			host?.prefixes.record(engine.name, blocks);
 		}
 
 		this.#hostOf.delete(id);
@@ -255,7 +255,7 @@
 	noteReports(engines: readonly SimulatedEngine[], nowMs: number): void {
 		for (const host of this.#hosts) {
 			for (const engine of engines) {
-				host.loads.report(engine.name, engine.load, nowMs);
+				host.loads.recordReport(engine.name, engine.load, nowMs);
 			}
 		}
 	}
@@ -264,7 +264,7 @@
 		const host = this.#placedBy.get(request);
 		this.#placedBy.delete(request);
 		if (host) {
-			this.#marginOf(request, host).note(isOnTime);
+			this.#marginOf(request, host).record(isOnTime);
 		}
 	}
 
@@ -284,12 +284,12 @@
 		return [{engine, role: change.role}];
 	}
 
-	#marginOf(request: TraceRequest, {margins} = this.#host): PromiseMargin {
+	#marginOf(request: TraceRequest, {margins} = this.#host): AdmissionMargin {
 		return isPrefillWork(request) ? margins.prefill : margins.decode;
 	}
 
 	#demand(nowMs: number): Demand {
-		return this.#meter.read(nowMs);
+		return this.#meter.current(nowMs);
 	}
 
 	#shapeOf(request: TraceRequest) {
@@ -305,11 +305,11 @@
 		const blocks = blocksOf(request);
 		const seen = this.#host.prefixes.countSeen(blocks);
 		const peers = engines.filter(({role}) => role === engine.role).map(({name}) => name);
-		return this.#features.prefix && seen > 0 && findHome(peers, blocks[seen - 1]!) === engine.name;
+		return this.#features.prefix && seen > 0 && findPrefixOwner(peers, blocks[seen - 1]!) === engine.name;
 	}
 
 	#expectCached(engine: SimulatedEngine, request: TraceRequest, isHome = false): number {
-		return this.#host.prefixes.expectCached(engine.name, blocksOf(request), isHome);
+		return this.#host.prefixes.estimateCached(engine.name, blocksOf(request), isHome);
 	}
 
 	#candidate(engine: SimulatedEngine, engines: readonly SimulatedEngine[], request: TraceRequest): Candidate {
@@ -321,7 +321,7 @@
 			load: this.#host.loads.estimate(engine.name),
 			speed: ENGINE_SPEED,
 			cachedTokens: this.#expectCached(engine, request, isHome) * 64,
-			isHome,
+			isPrefixOwner: isHome,
 			maxRunning: engine.role === 'decode' ? DECODE_MAX_RUNNING : PREFILL_MAX_RUNNING,
 			kvTokens: KV_TOKENS,
 		};
@@ -340,9 +340,9 @@
 	return Array.from({length: Math.floor(request.prefixTokens / 64)}, (_, index) => (request.prefix * 10_000) + index);
 }
 
-function noteDemand(meter: DemandMeter, request: TraceRequest, nowMs: number): void {
-	const {prefillMs, decodeMs} = estimateWork(request, ENGINE_SPEED);
-	meter.note(prefillMs, decodeMs, nowMs);
+function noteDemand(meter: DemandEstimator, request: TraceRequest, nowMs: number): void {
+	const {prefillMs, decodeMs} = estimateEngineTime(request, ENGINE_SPEED);
+	meter.record(prefillMs, decodeMs, nowMs);
 }
 
 function wrap(decision: ReturnType<typeof chooseEngine>): {readonly first: NonNullable<typeof decision>; readonly handsOff: boolean} | undefined {
--- a/bench/policy/simulate.ts
+++ b/bench/policy/simulate.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
-import {judgeRequest} from '../../src/routing/poison.js';
-import {DEFAULT_TARGETS} from '../../src/routing/choice.js';
+import {classifyRequest} from '../../src/routing/poison.js';
+import {DEFAULT_LATENCY_TARGETS} from '../../src/routing/choice.js';
 import {percentile} from '../statistics.js';
 import {
 	ENGINE_SPEED, MAX_RUNNING, SimulatedEngine, type EngineJob,
@@ -73,7 +73,7 @@
  */
 export function boundGoodput(trace: Trace): number {
 	const windowMs = 30_000;
-	const slackMs = DEFAULT_TARGETS.firstTokenMs + (420 * DEFAULT_TARGETS.betweenTokensMs);
+	const slackMs = DEFAULT_LATENCY_TARGETS.firstTokenMs + (420 * DEFAULT_LATENCY_TARGETS.betweenTokensMs);
 	let good = 0;
 	for (let start = 0; start < trace.durationMs; start += windowMs) {
 		const costs = trace.requests
@@ -182,7 +182,7 @@
 
 	#place(flight: Flight, nowMs: number): void {
 		flight.attempts++;
-		const suspected = this.#policy.judgesPoison ? judgeRequest({servers: this.#crashes.get(fingerprintOf(flight.request)) ?? []}) : 'clear';
+		const suspected = this.#policy.judgesPoison ? classifyRequest({servers: this.#crashes.get(fingerprintOf(flight.request)) ?? []}) : 'clear';
 		if (suspected === 'poisoned' || flight.attempts > MAX_ATTEMPTS) {
 			this.#refuse();
 			return;
@@ -240,7 +240,7 @@
 		flight.engine = engine;
 		if (flight.tokens === 0) {
 			flight.firstMs = nowMs - flight.startedMs;
-			this.#policy.noteTimeliness?.(flight.request, flight.firstMs <= DEFAULT_TARGETS.firstTokenMs);
+			this.#policy.noteTimeliness?.(flight.request, flight.firstMs <= DEFAULT_LATENCY_TARGETS.firstTokenMs);
 		} else {
 			flight.gaps.push(nowMs - flight.lastMs);
 		}
@@ -275,10 +275,10 @@
 		}
 
 		this.#unanswered--;
-		const isOnTime = flight.firstMs <= DEFAULT_TARGETS.firstTokenMs && percentile(flight.gaps, 0.95) <= DEFAULT_TARGETS.betweenTokensMs;
+		const isOnTime = flight.firstMs <= DEFAULT_LATENCY_TARGETS.firstTokenMs && percentile(flight.gaps, 0.95) <= DEFAULT_LATENCY_TARGETS.betweenTokensMs;
 		this.#good += isOnTime ? 1 : 0;
 		this.#late += isOnTime ? 0 : 1;
-		this.#lateFirst += flight.firstMs > DEFAULT_TARGETS.firstTokenMs ? 1 : 0;
+		this.#lateFirst += flight.firstMs > DEFAULT_LATENCY_TARGETS.firstTokenMs ? 1 : 0;
 	}
 
 	#continue(flight: Flight, nowMs: number): void {
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -21,8 +21,8 @@
 } from '../src/generated/types.js';
 import {Directory} from '../src/membership/directory.js';
 import {FANOUT, MAX_RUMOR_BYTES, ROUND_MS} from '../src/membership/gossip.js';
-import {chooseEngine, DEFAULT_SPEED, type Candidate} from '../src/routing/choice.js';
-import {Admission} from '../src/routing/limit.js';
+import {chooseEngine, DEFAULT_ENGINE_SPEED, type Candidate} from '../src/routing/choice.js';
+import {AdmissionController} from '../src/routing/admission.js';
 import {LoadTracker} from '../src/routing/load.js';
 import {PrefixIndex} from '../src/routing/prefix.js';
 import {decodeValue, encodeFrame, encodeValue} from '../src/wire/frame.js';
@@ -41,7 +41,7 @@
 	const loads = new LoadTracker();
 	for (let index = 0; index < count; index++) {
 		directory.merge({type: 'server', announcement: createAnnouncement(index, 1)}, 0);
-		loads.report(`server-${index}`, {
+		loads.recordReport(`server-${index}`, {
 			running: 1, waiting: 0, prefillTokens: 1, decodeTokens: 1,
 		}, 0);
 	}
@@ -51,7 +51,7 @@
 
 slope('heap bytes per prefix block, entry host', [20_000, 40_000, 80_000, 160_000], count => heapOf(() => {
 	const index = new PrefixIndex(count);
-	index.note('server', Array.from({length: count}, (_, block) => (block * 7919) % 4_294_967_291));
+	index.record('server', Array.from({length: count}, (_, block) => (block * 7919) % 4_294_967_291));
 	return index;
 }));
 
@@ -117,10 +117,10 @@
 
 slope('microseconds per admission with so many teams waiting', [50, 100, 200, 400], count => {
 	const run = () => {
-		const admission = new Admission();
+		const admission = new AdmissionController();
 		for (let index = 0; index < count; index++) {
-			admission.offer({
-				id: `r${index}`, team: `team-${index}`, weight: 1, tokens: 100, teamLimit: Number.POSITIVE_INFINITY, startByMs: 10_000,
+			admission.submit({
+				id: `r${index}`, team: `team-${index}`, weight: 1, tokens: 100, teamTokenLimit: Number.POSITIVE_INFINITY, latestStartMs: 10_000,
 			}, 100, 0);
 		}
 	};
@@ -360,6 +360,6 @@
 
 function createCandidate(index: number): Candidate {
 	return {
-		server: `server-${index}`, role: 'decode', dataCentre: 'a', load: {requests: index % 30, prefillTokens: 100, decodeTokens: 5000}, speed: DEFAULT_SPEED, cachedTokens: 0, maxRunning: 42, kvTokens: 64_000,
+		server: `server-${index}`, role: 'decode', dataCentre: 'a', load: {requests: index % 30, prefillTokens: 100, decodeTokens: 5000}, speed: DEFAULT_ENGINE_SPEED, cachedTokens: 0, maxRunning: 42, kvTokens: 64_000,
 	};
 }
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -9,7 +9,7 @@
 } from '../generated/types.js';
 import type {EngineRole} from '../routing/choice.js';
 import {
-	chooseRoleChange, PROFILES, type Demand, type RoleProfile,
+	chooseRoleChange, ROLE_PROFILES, type Demand, type RoleProfile,
 } from '../routing/roles.js';
 import {QUARANTINE_PREFIX} from './ledger.js';
 import {
@@ -237,7 +237,7 @@
 			return [];
 		}
 
-		const profile = {...PROFILES[policy.profile], ...(policy.changeWeight === undefined ? {} : {changeWeight: policy.changeWeight})};
+		const profile = {...ROLE_PROFILES[policy.profile], ...(policy.changeWeight === undefined ? {} : {changeWeight: policy.changeWeight})};
 		for (const pool of groupPools(engines)) {
 			const command = this.#choosePoolChange(state, pool, profile, authority);
 			if (command) {
--- a/src/daemon/controlhost.ts
+++ b/src/daemon/controlhost.ts
@@ -21,11 +21,11 @@
 } from '../generated/types.js';
 import {FeedPublisher, FeedSubscription} from '../membership/feed.js';
 import {DEFAULT_REGISTRY_TIMING, Registry, type Merge} from '../membership/registry.js';
-import {RuleTable, type Catalogue} from '../routing/catalogue.js';
-import {Placer} from '../routing/placer.js';
-import {RolePlanner} from '../routing/stages.js';
-import {listEngineFacts} from '../serving/engines.js';
-import type {Dialect} from '../serving/dialect.js';
+import {RouteTable, type RoutingConfig} from '../routing/routes.js';
+import {Scheduler} from '../routing/scheduler.js';
+import {RolePlanner} from '../routing/planner.js';
+import {listEngines} from '../serving/engines.js';
+import type {ProtocolAdapter} from '../serving/protocol.js';
 import {Listener, type Address, type Connection} from '../wire/connection.js';
 
 export type ControlHostOptions = {
@@ -40,7 +40,7 @@
 	readonly random: Random;
 	readonly loggers: LoggerFactory;
 	readonly metrics: ControlMetrics;
-	readonly dialect: Pick<Dialect, 'readCatalogue'>;
+	readonly dialect: Pick<ProtocolAdapter, 'parseRoutingConfig'>;
 	readonly createOrders: (findServer: (server: string) => Announcement | undefined) => OrderPort;
 	/** Time between the orders of two control hosts, milliseconds. */
 	readonly leaseMs: number;
@@ -73,11 +73,11 @@
 	readonly #publisher: FeedPublisher;
 	readonly #subscription: FeedSubscription;
 	readonly #listener: Listener;
-	readonly #placer = new Placer();
+	readonly #placer = new Scheduler();
 	readonly #roles = new RolePlanner();
 	readonly #timer: NodeJS.Timeout;
 	readonly #startedMs: number;
-	#table: RuleTable | undefined;
+	#table: RouteTable | undefined;
 	#roleChangedMs = Number.NEGATIVE_INFINITY;
 
 	private constructor(options: ControlHostOptions, service: ControlService, registry: Registry, listener: Listener) {
@@ -205,7 +205,7 @@
 	/** Puts a publication in force, unless a later one is; returns once it cannot be lost any more. */
 	async publish(text: string): Promise<Either.Either<Problem, void>> {
 		const {dialect, metrics} = this.#options;
-		const catalogue = dialect.readCatalogue(text);
+		const catalogue = dialect.parseRoutingConfig(text);
 		if (Either.isLeft(catalogue)) {
 			metrics.publications.inc({outcome: 'invalid'});
 			this.#logger.warn(`Refused a publication: ${catalogue.left.text}`, {bytes: text.length});
@@ -256,7 +256,7 @@
 			}
 
 			case 'offer': {
-				const decision = this.#placer.offer(message, this.#options.clock.monotonicMs());
+				const decision = this.#placer.place(message, this.#options.clock.monotonicMs());
 				this.#options.metrics.placements.inc({decision: decision.type});
 				connection.send(decision);
 				break;
@@ -264,12 +264,12 @@
 
 			case 'shadow': {
 				const {type: _type, reader, runner, ...request} = message;
-				this.#placer.observe(request, reader, runner, this.#options.clock.monotonicMs());
+				this.#placer.recordPlacement(request, reader, runner, this.#options.clock.monotonicMs());
 				break;
 			}
 
 			case 'milestone': {
-				const decision = this.#placer.note(message.id, message.stage, message.server, this.#options.clock.monotonicMs());
+				const decision = this.#placer.recordMilestone(message.id, message.stage, message.server, this.#options.clock.monotonicMs());
 				if (decision) {
 					connection.send(decision);
 				}
@@ -325,11 +325,11 @@
 	#onApplied(): void {
 		this.#updateEngines();
 		const {publication} = this.#service.state;
-		if (!publication || publication.version === this.#table?.catalogue.version) {
+		if (!publication || publication.version === this.#table?.config.version) {
 			return;
 		}
 
-		const catalogue = this.#options.dialect.readCatalogue(publication.body);
+		const catalogue = this.#options.dialect.parseRoutingConfig(publication.body);
 		if (Either.isLeft(catalogue)) {
 			this.#logger.error(`Publication ${publication.version} cannot be read.`, {version: publication.version, reason: catalogue.left.text});
 			return;
@@ -338,8 +338,8 @@
 		this.#useCatalogue(catalogue.right);
 	}
 
-	#useCatalogue(catalogue: Catalogue): void {
-		this.#table = new RuleTable(catalogue);
+	#useCatalogue(catalogue: RoutingConfig): void {
+		this.#table = new RouteTable(catalogue);
 		this.#publisher.notify();
 		this.#updateEngines();
 	}
@@ -347,7 +347,7 @@
 	#updateEngines(): void {
 		const changes = this.#service.state.listOpenChanges();
 		const usable = this.registry.listUsable().filter(({server}) => !changes.some(change => excludesServer(change, server)));
-		this.#placer.updateEngines(listEngineFacts(usable, this.#table));
+		this.#placer.updateEngines(listEngines(usable, this.#table));
 	}
 
 	#tick(): void {
@@ -370,7 +370,7 @@
 		metrics.subscribers.set(this.#publisher.entryCount);
 		metrics.leads.set(this.#service.hasAuthority ? 1 : 0);
 		metrics.majority.set(this.#service.hasQuorum ? 1 : 0);
-		metrics.version.set(this.#table?.catalogue.version ?? 0);
+		metrics.version.set(this.#table?.config.version ?? 0);
 	}
 
 	async #planRoles(): Promise<void> {
@@ -382,7 +382,7 @@
 			return;
 		}
 
-		const changes = this.#roles.plan(listEngineFacts(this.registry.listUsable(), this.#table), {nowMs, isNew: this.#isNew()});
+		const changes = this.#roles.plan(listEngines(this.registry.listUsable(), this.#table), {nowMs, isStartup: this.#isNew()});
 		if (changes.length > 0) {
 			this.#roleChangedMs = nowMs;
 		}
--- a/src/daemon/entryhost.ts
+++ b/src/daemon/entryhost.ts
@@ -11,17 +11,17 @@
 import type {Feed} from '../generated/types.js';
 import {FeedSubscription, inflatePublication} from '../membership/feed.js';
 import {Roster} from '../membership/roster.js';
-import {RepeatBudget, type BudgetLimits} from '../routing/budget.js';
-import {RuleTable} from '../routing/catalogue.js';
+import {ServiceRetryBudget, type RetryBudgetLimits} from '../routing/budget.js';
+import {RouteTable} from '../routing/routes.js';
 import {HealthTracker} from '../routing/health.js';
 import {LoadTracker} from '../routing/load.js';
-import {Placer} from '../routing/placer.js';
-import type {ServingCore} from '../serving/core.js';
-import type {Dialect} from '../serving/dialect.js';
-import {listEngineFacts} from '../serving/engines.js';
+import {Scheduler} from '../routing/scheduler.js';
+import type {ServingContext} from '../serving/context.js';
+import type {ProtocolAdapter} from '../serving/protocol.js';
+import {listEngines} from '../serving/engines.js';
 import {Gateway} from '../serving/gateway.js';
 import type {ServingMetrics} from '../serving/metrics.js';
-import {PlacingClient} from '../serving/placing.js';
+import {PlacementClient} from '../serving/placement.js';
 import {Upstream} from '../serving/upstream.js';
 import type {Address} from '../wire/connection.js';
 
@@ -33,9 +33,9 @@
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly loggers: LoggerFactory;
-	readonly dialect: Dialect;
+	readonly dialect: ProtocolAdapter;
 	readonly metrics: ServingMetrics;
-	readonly budget: BudgetLimits;
+	readonly budget: RetryBudgetLimits;
 	/** Time from the signal to stop to the end of the process, milliseconds. */
 	readonly graceMs: number;
 };
@@ -51,13 +51,13 @@
 	readonly #options: EntryHostOptions;
 	readonly #logger: Logger;
 	readonly #upstream = new Upstream();
-	readonly #local = new Placer();
+	readonly #local = new Scheduler();
 	readonly #subscription: FeedSubscription;
 	readonly #roster: Roster;
-	readonly #budget: RepeatBudget;
+	readonly #budget: ServiceRetryBudget;
 	readonly #gateway: Gateway;
-	readonly #placing: PlacingClient;
-	#table: RuleTable | undefined;
+	readonly #placing: PlacementClient;
+	#table: RouteTable | undefined;
 	#hostCount = 1;
 	#isStopping = false;
 
@@ -65,7 +65,7 @@
 		this.#options = options;
 		this.#logger = options.loggers('entry');
 		const {clock, random, dataCentre, dialect, metrics} = options;
-		this.#budget = new RepeatBudget(options.budget);
+		this.#budget = new ServiceRetryBudget(options.budget);
 		this.#subscription = new FeedSubscription({
 			host: options.host,
 			dataCentre,
@@ -73,7 +73,7 @@
 			seeds: options.seeds,
 			clock,
 			logger: options.loggers('membership'),
-			readVersion: () => this.#table?.catalogue.version ?? 0,
+			readVersion: () => this.#table?.config.version ?? 0,
 			onFeed: (feed, control) => {
 				this.#onFeed(feed, control);
 			},
@@ -82,24 +82,24 @@
 			},
 		});
 		this.#roster = new Roster(this.#subscription);
-		this.#placing = new PlacingClient(this.#subscription, this.#local, clock);
-		const core: ServingCore = {
+		this.#placing = new PlacementClient(this.#subscription, this.#local, clock);
+		const core: ServingContext = {
 			dataCentre,
 			clock,
 			random,
-			dialect,
+			protocol: dialect,
 			metrics,
 			logger: options.loggers('routing'),
 			upstream: this.#upstream,
 			health: new HealthTracker(),
-			loads: new LoadTracker(),
-			budget: this.#budget,
-			placing: this.#placing,
+			loadTracker: new LoadTracker(),
+			retryBudget: this.#budget,
+			placement: this.#placing,
 			listServers: () => this.#roster.listUsable(),
 			findServer: server => this.#roster.lookup(server),
 			countHosts: () => this.#hostCount,
 		};
-		this.#gateway = new Gateway({core, readTable: () => this.#table});
+		this.#gateway = new Gateway({context: core, getRouteTable: () => this.#table});
 	}
 
 	/** Listens for callers and subscribes to the control hosts. */
@@ -136,7 +136,7 @@
 		const startedMs = clock.monotonicMs();
 		this.#isStopping = true;
 		this.#logger.info('Stops: not ready any more.', {active: this.#gateway.activeCount});
-		this.#gateway.beginStop();
+		this.#gateway.startDraining();
 		await pause(Math.min(NOT_READY_MS, graceMs / 2));
 		this.#gateway.stopAccepting();
 		while (this.#gateway.activeCount > 0 && clock.monotonicMs() - startedMs < graceMs - STOP_MARGIN_MS) {
@@ -157,29 +157,29 @@
 		const hasNews = this.#roster.merge(feed, control, this.#options.clock.monotonicMs());
 		if (feed.entries > 0) {
 			this.#hostCount = feed.entries;
-			this.#budget.shareAmong(feed.entries);
+			this.#budget.setHostCount(feed.entries);
 		}
 
-		const isNewer = feed.version > (this.#table?.catalogue.version ?? 0);
+		const isNewer = feed.version > (this.#table?.config.version ?? 0);
 		if (feed.publication && isNewer) {
 			this.#apply(feed.publication, feed.version, control);
 		}
 
 		if (hasNews || (feed.publication && isNewer)) {
-			this.#local.updateEngines(listEngineFacts(this.#roster.listUsable(), this.#table));
+			this.#local.updateEngines(listEngines(this.#roster.listUsable(), this.#table));
 		}
 	}
 
 	#apply(bytes: Uint8Array, version: number, control: string): void {
 		const text = inflatePublication(bytes);
-		const catalogue = Either.isLeft(text) ? text : this.#options.dialect.readCatalogue(text.right);
+		const catalogue = Either.isLeft(text) ? text : this.#options.dialect.parseRoutingConfig(text.right);
 		if (Either.isLeft(catalogue)) {
 			this.#logger.error(`Publication ${version} cannot be read.`, {version, control, reason: catalogue.left.text});
 			return;
 		}
 
-		this.#table = new RuleTable(catalogue.right);
+		this.#table = new RouteTable(catalogue.right);
 		this.#gateway.applyLimits(catalogue.right.limits);
-		this.#logger.info(`Publication ${version} is in force here.`, {version, control, routes: catalogue.right.rules.length});
+		this.#logger.info(`Publication ${version} is in force here.`, {version, control, routes: catalogue.right.routes.length});
 	}
 }
--- a/src/daemon/host.ts
+++ b/src/daemon/host.ts
@@ -201,7 +201,7 @@
 			client: this.#client,
 			clock,
 			logger: loggers('entry'),
-			countRunning: server => this.#fleet.loads.countOwn(server),
+			countRunning: server => this.#fleet.loads.countInFlight(server),
 			readDemand: () => this.#fleet.readDemand(),
 			findAnnouncement: server => this.#directory.findServer(server),
 			onChange: () => {
--- a/src/entry/fleet.ts
+++ b/src/entry/fleet.ts
@@ -5,14 +5,14 @@
  */
 import type {Clock} from '../base/clock.js';
 import {
-	BLOCK_CHARACTERS, findHome, hashBlocks, PrefixIndex,
+	BLOCK_CHARACTERS, findPrefixOwner, hashBlocks, PrefixIndex,
 } from '../routing/prefix.js';
 import {
-	DEFAULT_SPEED, ENGINE_ROLES, type Candidate, type EngineRole,
+	DEFAULT_ENGINE_SPEED, ENGINE_ROLES, type Candidate, type EngineRole,
 } from '../routing/choice.js';
-import {HealthTracker, ProgressHistory} from '../routing/health.js';
+import {HealthTracker, StreamGapTracker} from '../routing/health.js';
 import {LoadTracker} from '../routing/load.js';
-import {DemandMeter, estimateWork} from '../routing/roles.js';
+import {DemandEstimator, estimateEngineTime} from '../routing/roles.js';
 import type {Announcement, Fact, ModelDemand} from '../generated/types.js';
 import type {Directory} from '../membership/directory.js';
 import type {View} from './view.js';
@@ -37,8 +37,8 @@
 	readonly loads = new LoadTracker();
 	readonly prefixes = new PrefixIndex();
 	readonly health = new HealthTracker();
-	readonly progress = new ProgressHistory();
-	readonly #meters = new Map<string, DemandMeter>();
+	readonly progress = new StreamGapTracker();
+	readonly #meters = new Map<string, DemandEstimator>();
 	readonly #options: FleetOptions;
 	readonly #incarnations = new Map<string, number>();
 
@@ -55,12 +55,12 @@
 		const {server, incarnation, load} = fact.announcement;
 		if (this.#incarnations.get(server) !== incarnation) {
 			this.#incarnations.set(server, incarnation);
-			this.prefixes.forget(server);
-			this.health.noteSuccess(server);
+			this.prefixes.removeServer(server);
+			this.health.recordSuccess(server);
 		}
 
 		if (load) {
-			this.loads.report(server, {prefillTokens: 0, decodeTokens: 0, ...load}, this.#options.clock.monotonicMs());
+			this.loads.recordReport(server, {prefillTokens: 0, decodeTokens: 0, ...load}, this.#options.clock.monotonicMs());
 		}
 	}
 
@@ -69,18 +69,18 @@
 		const nowMs = this.#options.clock.monotonicMs();
 		let meter = this.#meters.get(model);
 		if (!meter) {
-			meter = new DemandMeter(DEMAND_WINDOW_MS, nowMs);
+			meter = new DemandEstimator(DEMAND_WINDOW_MS, nowMs);
 			this.#meters.set(model, meter);
 		}
 
-		const {prefillMs, decodeMs} = estimateWork(shape, DEFAULT_SPEED);
-		meter.note(prefillMs, decodeMs, nowMs);
+		const {prefillMs, decodeMs} = estimateEngineTime(shape, DEFAULT_ENGINE_SPEED);
+		meter.record(prefillMs, decodeMs, nowMs);
 	}
 
 	/** Work that came in through this host, by model. */
 	readDemand(): ModelDemand[] {
 		const nowMs = this.#options.clock.monotonicMs();
-		return [...this.#meters].map(([model, meter]) => ({model, ...meter.read(nowMs)}));
+		return [...this.#meters].map(([model, meter]) => ({model, ...meter.current(nowMs)}));
 	}
 
 	findServer(server: string): Announcement | undefined {
@@ -129,7 +129,7 @@
 		const deepest = hashes[this.prefixes.countSeen(hashes) - 1];
 		for (const role of deepest === undefined ? [] : Object.values(ENGINE_ROLES)) {
 			const peers = engines.filter(engine => this.#roleOf(engine) === role).map(({server}) => server);
-			homes.add(findHome(peers, deepest!) ?? '');
+			homes.add(findPrefixOwner(peers, deepest!) ?? '');
 		}
 
 		return homes;
@@ -143,9 +143,9 @@
 			role: this.#roleOf(announcement),
 			dataCentre: announcement.dataCentre ?? '',
 			load: this.loads.estimate(server),
-			speed: DEFAULT_SPEED,
-			cachedTokens: this.prefixes.expectCached(server, hashes, isHome) * TOKENS_PER_BLOCK,
-			isHome,
+			speed: DEFAULT_ENGINE_SPEED,
+			cachedTokens: this.prefixes.estimateCached(server, hashes, isHome) * TOKENS_PER_BLOCK,
+			isPrefixOwner: isHome,
 			maxRunning: DEFAULT_MAX_RUNNING,
 			kvTokens: pieces * TOKENS_PER_PIECE,
 		};
--- a/src/entry/model.ts
+++ b/src/entry/model.ts
@@ -15,12 +15,12 @@
 } from '../generated/types.js';
 import type {Directory} from '../membership/directory.js';
 import {
-	chooseEngine, DEFAULT_TARGETS, isPrefillWork, meetsTargets, type Candidate, type Decision, type RequestShape,
+	chooseEngine, DEFAULT_LATENCY_TARGETS, isPrefillWork, meetsTargets, type Candidate, type EngineChoice, type RequestShape,
 } from '../routing/choice.js';
 import {placeContinuation, placeRequest} from '../routing/handoff.js';
 import {RetryBudget} from '../routing/health.js';
-import {Admission, PromiseMargin, type AdmissionEvent} from '../routing/limit.js';
-import {judgeRequest, VERDICTS, type CrashRecord} from '../routing/poison.js';
+import {AdmissionController, AdmissionMargin, type AdmissionEvent} from '../routing/admission.js';
+import {classifyRequest, POISON_STATES, type CrashRecord} from '../routing/poison.js';
 import {hashBlocks} from '../routing/prefix.js';
 import {
 	APIS, parseCompletion, StreamWriter, WholeWriter, type AnswerWriter, type Api, type CompletionRequest,
@@ -89,8 +89,8 @@
 	readonly #options: ModelOptions;
 	readonly #budget = new RetryBudget();
 	/** Margins of work that is mostly prompt and of other work. */
-	readonly #margins = {prefill: new PromiseMargin(), decode: new PromiseMargin()};
-	readonly #admissions = new Map<string, Admission>();
+	readonly #margins = {prefill: new AdmissionMargin(), decode: new AdmissionMargin()};
+	readonly #admissions = new Map<string, AdmissionController>();
 	readonly #waiting = new Map<string, (event: AdmissionEvent) => void>();
 	readonly #timer: NodeJS.Timeout;
 
@@ -105,7 +105,7 @@
 		return this.#options;
 	}
 
-	marginOf(shape: RequestShape): PromiseMargin {
+	marginOf(shape: RequestShape): AdmissionMargin {
 		return isPrefillWork(shape) ? this.#margins.prefill : this.#margins.decode;
 	}
 
@@ -134,13 +134,13 @@
 			team: limits.team,
 			weight: team?.weight ?? 1,
 			tokens: shape.promptTokens + shape.outputTokens,
-			teamLimit: team?.tokensInFlight ?? Number.POSITIVE_INFINITY,
-			startByMs: limits.startByMs,
+			teamTokenLimit: team?.tokensInFlight ?? Number.POSITIVE_INFINITY,
+			latestStartMs: limits.startByMs,
 		};
 		const event = await new Promise<AdmissionEvent>(resolve => {
 			this.#waiting.set(id, resolve);
 			const admission = this.#admissionOf(request.model);
-			this.#dispatch(admission.offer(offer, fleet.capacityTokens(request.model), clock.monotonicMs()));
+			this.#dispatch(admission.submit(offer, fleet.capacityTokens(request.model), clock.monotonicMs()));
 		});
 		if (event.type === 'start') {
 			return undefined;
@@ -155,7 +155,7 @@
 		this.#dispatch([{
 			type: 'refuse', id, reason: 'capacity', retryAfterSeconds: 1,
 		}]);
-		this.#dispatch(this.#admissionOf(model).end(id, fleet.capacityTokens(model), clock.monotonicMs()));
+		this.#dispatch(this.#admissionOf(model).complete(id, fleet.capacityTokens(model), clock.monotonicMs()));
 	}
 
 	close(): void {
@@ -166,7 +166,7 @@
 		let waiting = 0;
 		let running = 0;
 		for (const [model, admission] of this.#admissions) {
-			this.#dispatch(admission.pump(this.#options.fleet.capacityTokens(model), this.#options.clock.monotonicMs()));
+			this.#dispatch(admission.dispatch(this.#options.fleet.capacityTokens(model), this.#options.clock.monotonicMs()));
 			waiting += admission.waitingCount;
 			running += admission.runningCount;
 		}
@@ -183,10 +183,10 @@
 		}
 	}
 
-	#admissionOf(model: string): Admission {
+	#admissionOf(model: string): AdmissionController {
 		let admission = this.#admissions.get(model);
 		if (!admission) {
-			admission = new Admission();
+			admission = new AdmissionController();
 			this.#admissions.set(model, admission);
 		}
 
@@ -249,7 +249,7 @@
 		const firstTokenMs = Number(readHeader(exchange.request, 'carawayhoist-first-token-ms'));
 		this.#firstTokenMs = firstTokenMs > 0 ? firstTokenMs : undefined;
 		const model = handler.options.view.get('model', request.model)?.specification as Model | undefined;
-		this.#targetMs = this.#firstTokenMs ?? model?.firstTokenMs ?? DEFAULT_TARGETS.firstTokenMs;
+		this.#targetMs = this.#firstTokenMs ?? model?.firstTokenMs ?? DEFAULT_LATENCY_TARGETS.firstTokenMs;
 		this.#team = readHeader(exchange.request, 'carawayhoist-team') ?? 'default';
 		exchange.response.once('close', () => {
 			this.#onCallerGone();
@@ -287,7 +287,7 @@
 	}
 
 	#judgePoison(): Problem | undefined {
-		return this.#verdict() === VERDICTS.poisoned ? createProblem('poisoned') : undefined;
+		return this.#verdict() === POISON_STATES.poisoned ? createProblem('poisoned') : undefined;
 	}
 
 	#judgeModel(): Problem | undefined {
@@ -297,7 +297,7 @@
 	}
 
 	#verdict() {
-		return judgeRequest(this.#listCrashes());
+		return classifyRequest(this.#listCrashes());
 	}
 
 	#listCrashes(): CrashRecord {
@@ -306,7 +306,7 @@
 
 	async #runAttempts(): Promise<Problem | undefined> {
 		const {clock, metrics} = this.#handler.options;
-		this.#handler.budget.noteRequest();
+		this.#handler.budget.recordRequest();
 		this.#handler.options.fleet.noteDemand(this.#request.model, this.#shape);
 		let last = createProblem('noServer', undefined, 1);
 		while (!this.#isGone && clock.monotonicMs() < this.#deadlineMs) {
@@ -333,11 +333,11 @@
 
 	async #runOne(): Promise<NextStep> {
 		const verdict = this.#verdict();
-		if (verdict === VERDICTS.poisoned) {
+		if (verdict === POISON_STATES.poisoned) {
 			return {type: 'fail', problem: createProblem('poisoned')};
 		}
 
-		if (verdict === VERDICTS.suspect && !this.#hold) {
+		if (verdict === POISON_STATES.suspect && !this.#hold) {
 			const isHeld = await this.#takeHold();
 			return isHeld
 				? this.#runOne()
@@ -363,7 +363,7 @@
 		return this.#judgeEnd(end, server);
 	}
 
-	#choose(): Decision | undefined {
+	#choose(): EngineChoice | undefined {
 		const {fleet, random} = this.#handler.options;
 		const {model, prompt} = this.#request;
 		const fresh = this.#fresh;
@@ -378,19 +378,19 @@
 		return this.#tokens === 0 ? this.#place(wanted) : placeContinuation(this.#shape, wanted, random);
 	}
 
-	#place(candidates: readonly Candidate[]): Decision | undefined {
+	#place(candidates: readonly Candidate[]): EngineChoice | undefined {
 		const placement = placeRequest(this.#shape, candidates, this.#handler.options.random);
 		this.#handsOff = placement?.handsOff ?? false;
 		return placement?.first;
 	}
 
 	/** Work that will surely come late is refused at once, if the caller has said what late is. */
-	#judgePromise(decision: Decision): Problem | undefined {
+	#judgePromise(decision: EngineChoice): Problem | undefined {
 		if (this.#firstTokenMs === undefined || this.#tokens > 0) {
 			return undefined;
 		}
 
-		const targets = {...DEFAULT_TARGETS, firstTokenMs: this.#firstTokenMs - (this.#now() - this.#startedMs)};
+		const targets = {...DEFAULT_LATENCY_TARGETS, firstTokenMs: this.#firstTokenMs - (this.#now() - this.#startedMs)};
 		const isPromised = meetsTargets(decision.cost, targets, this.#handler.marginOf(this.#shape).share);
 		return isPromised ? undefined : createProblem('noCapacity', 'The first token would come too late.', 1);
 	}
@@ -420,7 +420,7 @@
 		return this.#hold !== undefined;
 	}
 
-	#logDecision(decision: Decision): void {
+	#logDecision(decision: EngineChoice): void {
 		const {logger} = this.#handler.options;
 		const considered = decision.considered.map(({server, totalMs}) => `${server}:${Math.round(totalMs)}`);
 		logger.info(`Sends request to ${decision.server}.`, {
@@ -429,7 +429,7 @@
 		this.#note(`Attempt ${this.#attempts} goes to engine ${decision.server} (${decision.reason}; ${considered.length} engines compared, expected first token in ${Math.round(decision.cost.firstTokenMs)} ms).`);
 	}
 
-	async #attempt(server: Announcement, decision: Decision): Promise<AttemptEnd> {
+	async #attempt(server: Announcement, decision: EngineChoice): Promise<AttemptEnd> {
 		const {engines, fleet, clock} = this.#handler.options;
 		const id = `${this.#exchange.id}.${this.#attempts}`;
 		this.#isFirstOfAttempt = true;
@@ -437,7 +437,7 @@
 		const handoff = this.#handsOff ? {handoff: true} : {};
 		const imported = this.#import ? {kv: this.#import} : {};
 		const cachedTokens = fleet.prefixes.countCached(server.server, hashBlocks(this.#request.prompt)) * TOKENS_PER_BLOCK;
-		fleet.loads.begin(server.server, id, {
+		fleet.loads.startRequest(server.server, id, {
 			prefillTokens: Math.max(0, this.#shape.promptTokens - (this.#import ? this.#shape.promptTokens : cachedTokens)),
 			outputTokens: this.#shape.outputTokens,
 			promptTokens: this.#shape.promptTokens,
@@ -450,7 +450,7 @@
 			},
 			offset: this.#tokens,
 			firstEventMs: this.#firstEventLimit(decision),
-			gapMs: fleet.progress.gapLimitMs(server.server),
+			gapMs: fleet.progress.stallTimeoutMs(server.server),
 			isFresh: this.#fresh === server.server,
 			priority: readHeader(this.#exchange.request, 'carawayhoist-priority') === 'background' ? PRIORITY.background : PRIORITY.interactive,
 			onToken: text => {
@@ -477,11 +477,11 @@
 		const end = await attempt.end;
 		clearTimeout(deadline);
 		this.#cancel = undefined;
-		fleet.loads.end(server.server, id);
+		fleet.loads.endRequest(server.server, id);
 		return end;
 	}
 
-	#firstEventLimit(decision: Decision): number {
+	#firstEventLimit(decision: EngineChoice): number {
 		const expected = decision.cost.firstTokenMs * FIRST_EVENT_FACTOR;
 		return Math.min(LONGEST_FIRST_EVENT_MS, Math.max(SHORTEST_FIRST_EVENT_MS, expected));
 	}
@@ -491,16 +491,16 @@
 		const nowMs = clock.monotonicMs();
 		if (this.#isFirstOfAttempt) {
 			this.#isFirstOfAttempt = false;
-			fleet.loads.noteFirstToken(server, attempt);
+			fleet.loads.recordFirstToken(server, attempt);
 		}
 
 		if (this.#tokens === 0) {
 			const firstMs = nowMs - this.#startedMs;
 			metrics.firstToken.observe(firstMs / 1000);
-			this.#handler.marginOf(this.#shape).note(firstMs <= this.#targetMs);
+			this.#handler.marginOf(this.#shape).record(firstMs <= this.#targetMs);
 		} else {
 			metrics.betweenTokens.observe((nowMs - this.#lastTokenMs) / 1000);
-			fleet.progress.noteGap(server, nowMs - this.#lastTokenMs);
+			fleet.progress.recordGap(server, nowMs - this.#lastTokenMs);
 		}
 
 		this.#lastTokenMs = nowMs;
@@ -553,7 +553,7 @@
 			case 'refused': {
 				this.#note(`Engine ${server.server} refused it (${end.status}).`);
 				this.#excluded.add(server.server);
-				if (end.status === 429 && !this.#handler.budget.take()) {
+				if (end.status === 429 && !this.#handler.budget.tryAcquire()) {
 					return {type: 'fail', problem: createProblem('noCapacity', undefined, 1)};
 				}
 
@@ -568,7 +568,7 @@
 			}
 
 			case 'unreachable': {
-				fleet.health.noteFailure(server.server, this.#now());
+				fleet.health.recordFailure(server.server, this.#now());
 				this.#excluded.add(server.server);
 				this.#note(`Engine ${server.server} could not be reached.`);
 				return {
@@ -586,7 +586,7 @@
 	#onHandoff(handle: string, server: Announcement): NextStep {
 		this.#handsOff = false;
 		this.#import = {address: server.address, port: server.port, handle};
-		this.#handler.options.fleet.prefixes.note(server.server, hashBlocks(this.#request.prompt));
+		this.#handler.options.fleet.prefixes.record(server.server, hashBlocks(this.#request.prompt));
 		this.#note(`Engine ${server.server} has computed the prompt; its KV cache is handed over.`);
 		return {
 			type: 'again', sameServer: false, reason: 'handoff', pauseMs: 0,
@@ -596,7 +596,7 @@
 	#noteLoad(server: string, header: string): void {
 		const load = parseLoad(header);
 		if (load) {
-			this.#handler.options.fleet.loads.report(server, load, this.#now());
+			this.#handler.options.fleet.loads.recordReport(server, load, this.#now());
 		}
 	}
 
@@ -604,7 +604,7 @@
 	#onSilent(server: Announcement, wasFresh: boolean, reason: string): NextStep {
 		this.#note(`Nothing usable came from engine ${server.server} on ${wasFresh ? 'a new' : 'an open'} connection (${reason}).`);
 		if (wasFresh) {
-			this.#handler.options.fleet.health.noteFailure(server.server, this.#now());
+			this.#handler.options.fleet.health.recordFailure(server.server, this.#now());
 			this.#excluded.add(server.server);
 		} else {
 			this.#fresh = server.server;
@@ -628,7 +628,7 @@
 		}
 
 		this.#note(`Engine ${server.server} died while it ran this request.`);
-		fleet.health.noteFailure(server.server, this.#now());
+		fleet.health.recordFailure(server.server, this.#now());
 		this.#excluded.add(server.server);
 		this.#hold?.release();
 		this.#hold = undefined;
@@ -664,7 +664,7 @@
 	#blameRepeatedBreaks(server: Announcement): void {
 		if (this.#brokenAt.has(server.server)) {
 			this.#excluded.add(server.server);
-			this.#handler.options.fleet.health.noteFailure(server.server, this.#now());
+			this.#handler.options.fleet.health.recordFailure(server.server, this.#now());
 		}
 
 		this.#brokenAt.add(server.server);
@@ -673,12 +673,12 @@
 	#onComplete(end: Extract<AttemptEnd, {type: 'complete'}>, server: Announcement): void {
 		const {fleet} = this.#handler.options;
 		const hashes = hashBlocks(this.#request.prompt);
-		fleet.health.noteSuccess(server.server);
+		fleet.health.recordSuccess(server.server);
 		if (end.cachedTokens !== undefined) {
-			fleet.prefixes.confirm(server.server, fleet.prefixes.countSeen(hashes), end.cachedTokens / TOKENS_PER_BLOCK);
+			fleet.prefixes.recordHits(server.server, fleet.prefixes.countSeen(hashes), end.cachedTokens / TOKENS_PER_BLOCK);
 		}
 
-		fleet.prefixes.note(server.server, hashes);
+		fleet.prefixes.record(server.server, hashes);
 
 		if (this.#hold) {
 			this.#clearSuspicion();
--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -123,14 +123,14 @@
 			const timeoutMs = attempt === 1 ? Math.min(leftMs, Math.max(500, leftMs / 3)) : leftMs;
 			const end = await this.#send(call, server, {attempt, timeoutMs, isFresh: attempt > 1});
 			if (end.type === 'answer') {
-				fleet.health.noteSuccess(server.server);
+				fleet.health.recordSuccess(server.server);
 				return Either.right(end.answer);
 			}
 
 			metrics.retries.inc({reason: end.type});
 			if (end.type === 'not-run' || attempt > 1) {
 				tried.add(server.server);
-				fleet.health.noteFailure(server.server, clock.monotonicMs());
+				fleet.health.recordFailure(server.server, clock.monotonicMs());
 			}
 		}
 
@@ -246,7 +246,7 @@
 			}
 
 			tried.add(server.server);
-			fleet.health.noteFailure(server.server, clock.monotonicMs());
+			fleet.health.recordFailure(server.server, clock.monotonicMs());
 		}
 
 		return last;
@@ -272,7 +272,7 @@
 		const {servers, fleet, clock} = this.#options;
 		const id = `${call.exchange.id}.${options.attempt}`;
 		this.#note(call, `It goes to server ${server.server}.`);
-		fleet.loads.begin(server.server, id, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
+		fleet.loads.startRequest(server.server, id, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
 		const end = await servers.exchange(server, {
 			id,
 			method: call.exchange.method,
@@ -282,7 +282,7 @@
 			timeoutMs: options.timeoutMs,
 			isFresh: options.isFresh,
 		});
-		fleet.loads.end(server.server, id);
+		fleet.loads.endRequest(server.server, id);
 		if (end.type !== 'answer') {
 			this.#note(call, `Server ${server.server}: ${end.text} (${end.type}).`);
 		}
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type {Announcement, Sighting} from '../generated/types.js';
+import type {Announcement, ServerStatus} from '../generated/types.js';
 
 export const MERGES = {none: 'none', refresh: 'refresh', change: 'change'} as const;
 export type Merge = keyof typeof MERGES;
@@ -48,12 +48,12 @@
 		return this.#revision;
 	}
 
-	lookup(server: string): Sighting | undefined {
+	lookup(server: string): ServerStatus | undefined {
 		const row = this.#rows.get(server);
 		return row && toSighting(row);
 	}
 
-	list(): Sighting[] {
+	list(): ServerStatus[] {
 		return [...this.#rows.values()].map(row => toSighting(row));
 	}
 
@@ -70,8 +70,8 @@
 	}
 
 	/** What changed after a revision; with `refreshes`, also servers that only announced themselves again. */
-	listSince(revision: number, refreshes: boolean): Sighting[] {
-		const result: Sighting[] = [];
+	listSince(revision: number, refreshes: boolean): ServerStatus[] {
+		const result: ServerStatus[] = [];
 		for (const row of this.#rows.values()) {
 			if ((refreshes ? Math.max(row.changed, row.refreshed) : row.changed) > revision) {
 				result.push(toSighting(row));
@@ -113,7 +113,7 @@
 	}
 
 	/** Takes what another host knows; its silence counts for nothing here, its goodbye does. */
-	mergeSighting({announcement, gone, silent}: Sighting, nowMs: number): Merge {
+	mergeSighting({announcement, gone, silent}: ServerStatus, nowMs: number): Merge {
 		const merge = silent ? MERGES.none : this.merge(announcement, nowMs);
 		const known = this.#rows.get(announcement.server);
 		if (gone && known?.announcement.incarnation === announcement.incarnation && this.leave(announcement.server)) {
@@ -188,6 +188,6 @@
 		&& a.models?.join(',') === b.models?.join(',');
 }
 
-function toSighting({announcement, gone, silent}: Row): Sighting {
+function toSighting({announcement, gone, silent}: Row): ServerStatus {
 	return {announcement, gone, silent};
 }
--- a/src/routing/limit.ts
+++ b/src/routing/admission.ts
@@ -13,9 +13,9 @@
 	/** Estimated cost, tokens. */
 	readonly tokens: number;
 	/** Most tokens of the team in flight at this host. */
-	readonly teamLimit: number;
+	readonly teamTokenLimit: number;
 	/** Monotonic time at which waiting makes no sense any more, milliseconds. */
-	readonly startByMs: number;
+	readonly latestStartMs: number;
 };
 
 export type AdmissionEvent
@@ -25,7 +25,7 @@
 type Waiting = AdmissionRequest & {readonly finishTag: number};
 
 /** Decides which requests run. A step machine: time is handed in. */
-export class Admission {
+export class AdmissionController {
 	readonly #running = new Map<string, AdmissionRequest>();
 	readonly #teamTokens = new Map<string, number>();
 	readonly #teamTags = new Map<string, number>();
@@ -45,15 +45,15 @@
 	}
 
 	/** Offers a request; its start or refusal may come at once or later. */
-	offer(request: AdmissionRequest, capacityTokens: number, nowMs: number): AdmissionEvent[] {
-		if (request.tokens > request.teamLimit) {
+	submit(request: AdmissionRequest, capacityTokens: number, nowMs: number): AdmissionEvent[] {
+		if (request.tokens > request.teamTokenLimit) {
 			return [{
 				type: 'refuse', id: request.id, reason: 'team', retryAfterSeconds: 1,
 			}];
 		}
 
 		const waitMs = this.#estimateWaitMs(request, capacityTokens);
-		if (nowMs + waitMs > request.startByMs) {
+		if (nowMs + waitMs > request.latestStartMs) {
 			return [{
 				type: 'refuse', id: request.id, reason: 'capacity', retryAfterSeconds: Math.max(1, Math.ceil(waitMs / 1000)),
 			}];
@@ -63,11 +63,11 @@
 		const finishTag = start + (request.tokens / request.weight);
 		this.#teamTags.set(request.team, finishTag);
 		this.#waiting.push({...request, finishTag});
-		return this.pump(capacityTokens, nowMs);
+		return this.dispatch(capacityTokens, nowMs);
 	}
 
 	/** Notes that a request has ended, however it did. */
-	end(id: string, capacityTokens: number, nowMs: number): AdmissionEvent[] {
+	complete(id: string, capacityTokens: number, nowMs: number): AdmissionEvent[] {
 		const request = this.#running.get(id);
 		if (!request) {
 			this.#waiting = this.#waiting.filter(waiting => waiting.id !== id);
@@ -78,19 +78,19 @@
 		this.#runningTokens -= request.tokens;
 		this.#addTeamTokens(request.team, -request.tokens);
 		this.#noteRate(request.tokens, nowMs);
-		return this.pump(capacityTokens, nowMs);
+		return this.dispatch(capacityTokens, nowMs);
 	}
 
 	/** Starts what fits and refuses what has waited too long. */
-	pump(capacityTokens: number, nowMs: number): AdmissionEvent[] {
+	dispatch(capacityTokens: number, nowMs: number): AdmissionEvent[] {
 		const events: AdmissionEvent[] = [];
-		for (const late of this.#waiting.filter(waiting => waiting.startByMs < nowMs)) {
+		for (const late of this.#waiting.filter(waiting => waiting.latestStartMs < nowMs)) {
 			events.push({
 				type: 'refuse', id: late.id, reason: 'capacity', retryAfterSeconds: 1,
 			});
 		}
 
-		this.#waiting = this.#waiting.filter(waiting => waiting.startByMs >= nowMs);
+		this.#waiting = this.#waiting.filter(waiting => waiting.latestStartMs >= nowMs);
 		this.#waiting.sort((a, b) => a.finishTag - b.finishTag);
 		const kept: Waiting[] = [];
 		for (const waiting of this.#waiting) {
@@ -114,7 +114,7 @@
 	#fits(request: AdmissionRequest, capacityTokens: number): boolean {
 		const team = this.#teamTokens.get(request.team) ?? 0;
 		const fitsFleet = this.#runningTokens + request.tokens <= capacityTokens || this.#running.size === 0;
-		return fitsFleet && team + request.tokens <= request.teamLimit;
+		return fitsFleet && team + request.tokens <= request.teamTokenLimit;
 	}
 
 	#start(waiting: Waiting): void {
@@ -155,7 +155,7 @@
  * How much of a target may be promised: falls fast when admitted work comes late, and rises slowly while it is on
  * time. Corrects estimates that are made from stale reports.
  */
-export class PromiseMargin {
+export class AdmissionMargin {
 	#share = 1;
 
 	/** Share of the target that an estimate may use up. */
@@ -163,7 +163,7 @@
 		return this.#share;
 	}
 
-	note(isOnTime: boolean): void {
+	record(isOnTime: boolean): void {
 		this.#share = isOnTime
 			? Math.min(1, this.#share + GROW_STEP)
 			: Math.max(SMALLEST_MARGIN, this.#share * SHRINK_FACTOR);
--- a/src/routing/budget.ts
+++ b/src/routing/budget.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-export type BudgetLimits = {
+export type RetryBudgetLimits = {
 	/** Repeats for each request. */
 	readonly ratio: number;
 	/** Repeats that all hosts together may send beside that in one window. */
@@ -21,31 +21,31 @@
 };
 
 /** Counts requests and repeats by service. A step machine: time is handed in. */
-export class RepeatBudget {
-	#limits: BudgetLimits;
+export class ServiceRetryBudget {
+	#limits: RetryBudgetLimits;
 	readonly #services = new Map<string, Window>();
 	#hosts = 1;
 
-	constructor(limits: BudgetLimits) {
+	constructor(limits: RetryBudgetLimits) {
 		this.#limits = limits;
 	}
 
 	/** Replaces the limits; what was counted stays counted. */
-	updateLimits(limits: BudgetLimits): void {
+	updateLimits(limits: RetryBudgetLimits): void {
 		this.#limits = limits;
 	}
 
 	/** Takes the number of hosts that share the allowance. */
-	shareAmong(hosts: number): void {
+	setHostCount(hosts: number): void {
 		this.#hosts = Math.max(1, hosts);
 	}
 
-	noteRequest(service: string, nowMs: number): void {
+	recordRequest(service: string, nowMs: number): void {
 		this.#windowOf(service, nowMs).requests.push(nowMs);
 	}
 
 	/** Takes one repeat if the budget allows it. */
-	take(service: string, nowMs: number): boolean {
+	tryAcquire(service: string, nowMs: number): boolean {
 		const {requests, repeats} = this.#windowOf(service, nowMs);
 		const {ratio, allowance} = this.#limits;
 		const limit = ((requests.length * ratio) + (allowance / this.#hosts)) * SAFE_SHARE;
--- a/src/routing/choice.ts
+++ b/src/routing/choice.ts
@@ -4,13 +4,13 @@
  * @module
  */
 import {shuffle, type Random} from '../base/random.js';
-import type {Estimate, WorkSize} from './load.js';
+import type {LoadEstimate, WorkSize} from './load.js';
 
 export const ENGINE_ROLES = {prefill: 'prefill', decode: 'decode', mixed: 'mixed'} as const;
 export type EngineRole = keyof typeof ENGINE_ROLES;
 
 /** How fast an engine is, learned from its answers. */
-export type Speed = {
+export type EngineSpeed = {
 	readonly prefillTokensPerMs: number;
 	/** Time of one decode step with an empty batch, milliseconds. */
 	readonly stepMs: number;
@@ -18,18 +18,18 @@
 	readonly stepMsPerRequest: number;
 };
 
-export const DEFAULT_SPEED: Speed = {prefillTokensPerMs: 8, stepMs: 14, stepMsPerRequest: 0.25};
+export const DEFAULT_ENGINE_SPEED: EngineSpeed = {prefillTokensPerMs: 8, stepMs: 14, stepMsPerRequest: 0.25};
 
 export type Candidate = {
 	readonly server: string;
 	readonly role: EngineRole;
 	readonly dataCentre: string;
-	readonly load: Estimate;
-	readonly speed: Speed;
+	readonly load: LoadEstimate;
+	readonly speed: EngineSpeed;
 	/** Prompt tokens that its prefix cache is expected to hold. */
 	readonly cachedTokens: number;
 	/** Whether the prompt's prefix is at home there. */
-	readonly isHome?: boolean;
+	readonly isPrefixOwner?: boolean;
 	/** Requests that it runs at once; more wait. */
 	readonly maxRunning: number;
 	/** KV tokens that it holds at most. */
@@ -42,17 +42,17 @@
 	readonly dataCentre: string;
 };
 
-export type Cost = {
+export type CostEstimate = {
 	readonly server: string;
 	readonly firstTokenMs: number;
 	readonly betweenTokensMs: number;
 	readonly totalMs: number;
 };
 
-export type Decision = {
+export type EngineChoice = {
 	readonly server: string;
-	readonly cost: Cost;
-	readonly considered: readonly Cost[];
+	readonly cost: CostEstimate;
+	readonly considered: readonly CostEstimate[];
 	readonly reason: 'only' | 'cheapest' | 'prefix';
 };
 
@@ -60,15 +60,15 @@
 	/** Random candidates that are compared, beside the best prefix hit. */
 	readonly sampleSize: number;
 	/** Extra cost of another data centre, milliseconds for each exchange. */
-	readonly crossingMs: number;
+	readonly crossDataCentreMs: number;
 	/** Whether long prompts keep away from engines that decode. */
 	readonly respectRoles: boolean;
 	/** Whether expected prefix hits lower the cost; off by default, docs/design/routing.md says why. */
-	readonly usePrefix: boolean;
+	readonly usePrefixCache: boolean;
 };
 
-export const DEFAULT_CHOICE: ChoiceOptions = {
-	sampleSize: 2, crossingMs: 1, respectRoles: true, usePrefix: false,
+export const DEFAULT_CHOICE_OPTIONS: ChoiceOptions = {
+	sampleSize: 2, crossDataCentreMs: 1, respectRoles: true, usePrefixCache: false,
 };
 
 /** Prompt tokens for each output token above which a request counts as prefill work. */
@@ -91,10 +91,10 @@
 	shape: RequestShape,
 	candidates: readonly Candidate[],
 	random: Random,
-	options = DEFAULT_CHOICE,
-): Decision | undefined {
+	options = DEFAULT_CHOICE_OPTIONS,
+): EngineChoice | undefined {
 	const sample = shuffle(candidates, random).slice(0, options.sampleSize);
-	const bestHit = options.usePrefix ? findBestHit(candidates) : undefined;
+	const bestHit = options.usePrefixCache ? findBestHit(candidates) : undefined;
 	if (bestHit && !sample.includes(bestHit)) {
 		sample.push(bestHit);
 	}
@@ -121,9 +121,9 @@
  * estimateCost(shape, candidate).firstTokenMs; // 620
  * ```
  */
-export function estimateCost(shape: RequestShape, candidate: Candidate, options = DEFAULT_CHOICE): Cost {
+export function estimateCost(shape: RequestShape, candidate: Candidate, options = DEFAULT_CHOICE_OPTIONS): CostEstimate {
 	const {load, speed} = candidate;
-	const cached = options.usePrefix ? Math.min(candidate.cachedTokens, shape.promptTokens) : 0;
+	const cached = options.usePrefixCache ? Math.min(candidate.cachedTokens, shape.promptTokens) : 0;
 	const size: WorkSize = {
 		prefillTokens: shape.promptTokens - cached, outputTokens: shape.outputTokens, promptTokens: shape.promptTokens,
 	};
@@ -131,9 +131,9 @@
 	const kvOverflow = Math.max(0, load.decodeTokens + size.promptTokens + size.outputTokens - candidate.kvTokens);
 	const prefillMs = (load.prefillTokens + size.prefillTokens) / speed.prefillTokensPerMs;
 	const betweenTokensMs = speed.stepMs + (speed.stepMsPerRequest * Math.min(load.requests, candidate.maxRunning));
-	const crossingMs = candidate.dataCentre === shape.dataCentre ? 0 : options.crossingMs;
+	const crossDataCentreMs = candidate.dataCentre === shape.dataCentre ? 0 : options.crossDataCentreMs;
 	const queueMs = (queued * QUEUE_PENALTY_MS) + (kvOverflow / speed.prefillTokensPerMs);
-	const firstTokenMs = prefillMs + queueMs + betweenTokensMs + crossingMs;
+	const firstTokenMs = prefillMs + queueMs + betweenTokensMs + crossDataCentreMs;
 	const roleMs = options.respectRoles ? rolePenalty(size, candidate.role) : 0;
 	// A running batch is slowed by each prompt that joins it: that is a cost to others.
 	const disturbanceMs = candidate.role === ENGINE_ROLES.decode ? size.prefillTokens / speed.prefillTokensPerMs : 0;
@@ -169,7 +169,7 @@
 }
 
 function findBestHit(candidates: readonly Candidate[]): Candidate | undefined {
-	let best = candidates.find(candidate => candidate.isHome);
+	let best = candidates.find(candidate => candidate.isPrefixOwner);
 	for (const candidate of candidates) {
 		if (candidate.cachedTokens > (best?.cachedTokens ?? 0)) {
 			best = candidate;
@@ -180,12 +180,12 @@
 }
 
 /** What an answer must keep to count as on time, milliseconds. */
-export type Targets = {
+export type LatencyTargets = {
 	readonly firstTokenMs: number;
 	readonly betweenTokensMs: number;
 };
 
-export const DEFAULT_TARGETS: Targets = {firstTokenMs: 740, betweenTokensMs: 27};
+export const DEFAULT_LATENCY_TARGETS: LatencyTargets = {firstTokenMs: 740, betweenTokensMs: 27};
 
 /**
  * Tells whether an engine is expected to keep the targets; work that cannot is refused at once rather than late.
@@ -196,6 +196,6 @@
  * meetsTargets(decision.cost, DEFAULT_TARGETS);
  * ```
  */
-export function meetsTargets(cost: Cost, targets: Targets, share = 1): boolean {
+export function meetsTargets(cost: CostEstimate, targets: LatencyTargets, share = 1): boolean {
 	return cost.firstTokenMs <= targets.firstTokenMs * share && cost.betweenTokensMs <= targets.betweenTokensMs;
 }
--- a/src/routing/enginestate.ts
+++ b/src/routing/engine.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import {ENGINE_ROLES, type EngineRole} from './choice.js';
-import {PartCache, type PromptPart} from './parts.js';
-import {ReadQueue, type ReadReport, type ReadTask} from './readqueue.js';
+import {KvCacheModel, type PromptPart} from './kvcache.js';
+import {PrefillQueue, type PrefillReport, type PrefillTask} from './queue.js';
 
-export type EngineFacts = {
+export type EngineInfo = {
 	readonly server: string;
 	readonly incarnation: number;
 	readonly service: string;
@@ -20,7 +20,7 @@
 };
 
 /** Size of a request at an engine. */
-export type Flight = {
+export type RequestSize = {
 	readonly parts: readonly PromptPart[];
 	readonly promptTokens: number;
 	readonly outputTokens: number;
@@ -64,9 +64,9 @@
 
 /** The state of one engine in one incarnation. */
 export class EngineState {
-	facts: EngineFacts;
-	readonly #cache = new PartCache();
-	readonly #queue = new ReadQueue();
+	info: EngineInfo;
+	readonly #cache = new KvCacheModel();
+	readonly #queue = new PrefillQueue();
 	/** Parts that each prompt in the queue is to bring: nobody can fetch them yet. */
 	readonly #pending = new Map<string, ReadonlySet<string>>();
 	readonly #running = new Map<string, Run>();
@@ -80,8 +80,8 @@
 	#slowness = 1;
 	#latencyMs = LATENCY_MS;
 
-	constructor(facts: EngineFacts) {
-		this.facts = facts;
+	constructor(info: EngineInfo) {
+		this.info = info;
 	}
 
 	get runningCount(): number {
@@ -94,22 +94,22 @@
 	}
 
 	/** Time to a prompt's first token beside what it waits and is read, milliseconds. */
-	get latencyMs(): number {
+	get overheadMs(): number {
 		return this.#latencyMs;
 	}
 
 	/** Time of one step with what runs here, milliseconds. */
 	get stepMs(): number {
-		return STEP_MS + this.contextMs(0);
+		return STEP_MS + this.contextStepMs(0);
 	}
 
 	/** Part of a step that the context of running requests takes with some tokens more, milliseconds. */
-	contextMs(moreTokens: number): number {
+	contextStepMs(moreTokens: number): number {
 		return (this.#contextTokens + moreTokens) / 1000 * STEP_MS_PER_THOUSAND;
 	}
 
 	/** Share of its recent requests that it failed; what is long ago counts less. */
-	failureShare(nowMs: number): number {
+	failureRate(nowMs: number): number {
 		return this.#failureShare * (0.5 ** ((nowMs - this.#outcomeMs) / FAILURE_HALF_LIFE_MS));
 	}
 
@@ -120,8 +120,8 @@
 	}
 
 	/** Notes how a request ended here. */
-	noteOutcome(isFailure: boolean, nowMs: number): void {
-		const share = this.failureShare(nowMs);
+	recordOutcome(isFailure: boolean, nowMs: number): void {
+		const share = this.failureRate(nowMs);
 		this.#failureShare = share + (((isFailure ? 1 : 0) - share) * FAILURE_WEIGHT);
 		this.#outcomeMs = nowMs;
 	}
@@ -148,10 +148,10 @@
 	 *
 	 * @param cached - Leading tokens that it holds or is given.
 	 */
-	readMs({promptTokens}: Pick<Flight, 'promptTokens'>, cached: number): number {
+	prefillMs({promptTokens}: Pick<RequestSize, 'promptTokens'>, cached: number): number {
 		const unread = Math.max(1, promptTokens - cached);
-		if (this.facts.role === ENGINE_ROLES.prefill) {
-			return estimateReadMs(unread, cached) * this.#slowness;
+		if (this.info.role === ENGINE_ROLES.prefill) {
+			return estimatePrefillMs(unread, cached) * this.#slowness;
 		}
 
 		const steps = Math.ceil(unread / (CHUNK_TOKENS / MIXED_CHUNK_FACTOR));
@@ -164,28 +164,28 @@
 	}
 
 	/** Prompts that would wait behind one of some urgency. */
-	countBehind(priority: number, nowMs: number): number {
-		return this.#queue.countBehind(priority, nowMs);
+	countLowerPriority(priority: number, nowMs: number): number {
+		return this.#queue.countLowerPriority(priority, nowMs);
 	}
 
 	/** Notes that it was given a prompt to read. */
-	beginRead(id: string, flight: Flight, task: ReadTask, nowMs: number): void {
+	startPrefill(id: string, flight: RequestSize, task: PrefillTask, nowMs: number): void {
 		this.#queue.add(id, task, nowMs);
 		const missing = flight.parts.filter(({key}) => !this.#cache.has(key)).map(({key}) => key);
 		this.#pending.set(id, new Set(missing));
-		this.#cache.note(flight.parts, this.facts.kvTokens - this.#contextTokens);
+		this.#cache.record(flight.parts, this.info.kvTokens - this.#contextTokens);
 	}
 
 	/** Notes parts that it read on another placer's word. */
-	learn(parts: readonly PromptPart[]): void {
-		this.#cache.note(parts, this.facts.kvTokens - this.#contextTokens);
+	recordCached(parts: readonly PromptPart[]): void {
+		this.#cache.record(parts, this.info.kvTokens - this.#contextTokens);
 	}
 
 	/** Notes that a prompt is read, and learns from how long it took. */
-	endRead(id: string, nowMs: number): void {
+	completePrefill(id: string, nowMs: number): void {
 		this.#progressMs = nowMs;
 		this.#pending.delete(id);
-		const report = this.#queue.finish(id, nowMs - this.#latencyMs);
+		const report = this.#queue.complete(id, nowMs - this.#latencyMs);
 		if (report) {
 			this.#learnSpeed(report);
 		}
@@ -196,15 +196,15 @@
 	 *
 	 * @param dueMs - When the first event should come.
 	 */
-	beginRun(id: string, {parts, promptTokens, outputTokens}: Flight, dueMs: number | undefined): void {
+	startRun(id: string, {parts, promptTokens, outputTokens}: RequestSize, dueMs: number | undefined): void {
 		const tokens = promptTokens + outputTokens;
 		this.#contextTokens += tokens - (this.#running.get(id)?.tokens ?? 0);
 		this.#running.set(id, {tokens, dueMs});
-		this.#cache.note(parts, this.facts.kvTokens - this.#contextTokens);
+		this.#cache.record(parts, this.info.kvTokens - this.#contextTokens);
 	}
 
 	/** Notes the first event of a request. */
-	noteFirst(id: string, nowMs: number): void {
+	recordFirstEvent(id: string, nowMs: number): void {
 		this.#progressMs = nowMs;
 		const run = this.#running.get(id);
 		if (run) {
@@ -212,9 +212,9 @@
 		}
 	}
 
-	end(id: string, nowMs: number): void {
+	endRequest(id: string, nowMs: number): void {
 		this.#queue.remove(id, nowMs);
-		this.#cache.drop(this.#pending.get(id) ?? []);
+		this.#cache.remove(this.#pending.get(id) ?? []);
 		this.#pending.delete(id);
 		this.#contextTokens -= this.#running.get(id)?.tokens ?? 0;
 		this.#running.delete(id);
@@ -230,10 +230,10 @@
 		return false;
 	}
 
-	#learnSpeed({busyMs, workMs, tookMs, wasAlone}: ReadReport): void {
+	#learnSpeed({busyMs, workMs, totalMs: tookMs, wasIdle: wasAlone}: PrefillReport): void {
 		if (workMs < SMALL_WORK_MS) {
-			const latencyMs = Math.max(0, tookMs + this.#latencyMs - workMs);
-			this.#latencyMs += wasAlone ? (latencyMs - this.#latencyMs) * LATENCY_WEIGHT : 0;
+			const overheadMs = Math.max(0, tookMs + this.#latencyMs - workMs);
+			this.#latencyMs += wasAlone ? (overheadMs - this.#latencyMs) * LATENCY_WEIGHT : 0;
 			return;
 		}
 
@@ -270,7 +270,7 @@
  * estimateReadMs(9300, 0); // 100 ms of reading, 19 ms of attention, 10 steps of 3.29 ms
  * ```
  */
-export function estimateReadMs(unread: number, context: number): number {
+export function estimatePrefillMs(unread: number, context: number): number {
 	return estimateWorkMs(unread, context) + (Math.ceil(unread / CHUNK_TOKENS) * STEP_MS);
 }
 
--- a/src/routing/handoff.ts
+++ b/src/routing/handoff.ts
@@ -5,7 +5,7 @@
  */
 import type {Random} from '../base/random.js';
 import {
-	chooseEngine, DEFAULT_CHOICE, ENGINE_ROLES, type Candidate, type ChoiceOptions, type Decision, type RequestShape,
+	chooseEngine, DEFAULT_CHOICE_OPTIONS, ENGINE_ROLES, type Candidate, type ChoiceOptions, type EngineChoice, type RequestShape,
 } from './choice.js';
 
 export type TransferSpeed = {
@@ -19,7 +19,7 @@
 
 /** Where a request goes: to one engine, or to one for the prompt and another for the answer. */
 export type Placement = {
-	readonly first: Decision;
+	readonly first: EngineChoice;
 	/** Whether the answer is to be continued at another engine after the first token. */
 	readonly handsOff: boolean;
 };
@@ -39,7 +39,7 @@
 	shape: RequestShape,
 	candidates: readonly Candidate[],
 	random: Random,
-	options: ChoiceOptions = DEFAULT_CHOICE,
+	options: ChoiceOptions = DEFAULT_CHOICE_OPTIONS,
 ): Placement | undefined {
 	const direct = candidates.filter(candidate => candidate.role !== ENGINE_ROLES.prefill);
 	const prefill = candidates.filter(candidate => candidate.role === ENGINE_ROLES.prefill);
@@ -50,7 +50,7 @@
 
 	const first = chooseEngine({...shape, outputTokens: 1}, prefill, random, {...options, respectRoles: false});
 	const own = candidates.find(candidate => candidate.server === straight.server)!;
-	const uncached = shape.promptTokens - (options.usePrefix ? Math.min(own.cachedTokens, shape.promptTokens) : 0);
+	const uncached = shape.promptTokens - (options.usePrefixCache ? Math.min(own.cachedTokens, shape.promptTokens) : 0);
 	if (!first || uncached < MIN_HANDOFF_TOKENS) {
 		return {first: straight, handsOff: false};
 	}
@@ -72,10 +72,10 @@
 	shape: RequestShape,
 	candidates: readonly Candidate[],
 	random: Random,
-	options: ChoiceOptions = DEFAULT_CHOICE,
-): Decision | undefined {
+	options: ChoiceOptions = DEFAULT_CHOICE_OPTIONS,
+): EngineChoice | undefined {
 	const direct = candidates.filter(candidate => candidate.role !== ENGINE_ROLES.prefill);
 	const usable = (direct.length > 0 ? direct : candidates).map(candidate => ({...candidate, cachedTokens: shape.promptTokens}));
-	return chooseEngine(shape, usable, random, {...options, respectRoles: false, usePrefix: true});
+	return chooseEngine(shape, usable, random, {...options, respectRoles: false, usePrefixCache: true});
 }
 
--- a/src/routing/health.ts
+++ b/src/routing/health.ts
@@ -16,13 +16,13 @@
 	readonly #servers = new Map<string, ServerHealth>();
 
 	/** Notes that even a new connection to a server failed. */
-	noteFailure(server: string, nowMs: number): void {
+	recordFailure(server: string, nowMs: number): void {
 		const known = this.#servers.get(server) ?? {failures: 0, suspectedUntilMs: 0};
 		const durationMs = Math.min(LONGEST_SUSPICION_MS, FIRST_SUSPICION_MS * (2 ** known.failures));
 		this.#servers.set(server, {failures: known.failures + 1, suspectedUntilMs: nowMs + durationMs});
 	}
 
-	noteSuccess(server: string): void {
+	recordSuccess(server: string): void {
 		this.#servers.delete(server);
 	}
 
@@ -43,12 +43,12 @@
 		this.#tokens = reserve;
 	}
 
-	noteRequest(): void {
+	recordRequest(): void {
 		this.#tokens = Math.min(this.#reserve, this.#tokens + this.#share);
 	}
 
 	/** Takes one retry if the budget allows it. */
-	take(): boolean {
+	tryAcquire(): boolean {
 		if (this.#tokens < 1) {
 			return false;
 		}
@@ -59,10 +59,10 @@
 }
 
 /** Typical durations of a server's answers, and from them when silence becomes suspicious. */
-export class ProgressHistory {
+export class StreamGapTracker {
 	readonly #servers = new Map<string, {gapMs: number}>();
 
-	noteGap(server: string, gapMs: number): void {
+	recordGap(server: string, gapMs: number): void {
 		const known = this.#servers.get(server);
 		if (!known) {
 			this.#servers.set(server, {gapMs});
@@ -75,7 +75,7 @@
 	}
 
 	/** Longest silence between two events of a stream, milliseconds. */
-	gapLimitMs(server: string): number {
+	stallTimeoutMs(server: string): number {
 		const typicalMs = this.#servers.get(server)?.gapMs ?? 100;
 		return Math.min(10_000, Math.max(1000, typicalMs * 20));
 	}
--- a/src/routing/parts.ts
+++ b/src/routing/kvcache.ts
@@ -11,7 +11,7 @@
 };
 
 /** A model of one engine's cache: the least recently used parts yield. */
-export class PartCache {
+export class KvCacheModel {
 	readonly #parts = new Map<string, number>();
 	#tokens = 0;
 
@@ -34,18 +34,18 @@
 	}
 
 	/** Notes that an engine has read a prompt, and drops what no longer fits beside it. */
-	note(parts: readonly PromptPart[], capacityTokens: number): void {
+	record(parts: readonly PromptPart[], capacityTokens: number): void {
 		for (const {key, tokens} of parts) {
 			this.#tokens += tokens - (this.#parts.get(key) ?? 0);
 			this.#parts.delete(key);
 			this.#parts.set(key, tokens);
 		}
 
-		this.shrink(capacityTokens);
+		this.evictTo(capacityTokens);
 	}
 
 	/** Drops the least recently used parts beyond a capacity. */
-	shrink(capacityTokens: number): void {
+	evictTo(capacityTokens: number): void {
 		for (const [key, tokens] of this.#parts) {
 			if (this.#tokens <= capacityTokens) {
 				return;
@@ -57,7 +57,7 @@
 	}
 
 	/** Drops parts that were noted but not read after all. */
-	drop(keys: Iterable<string>): void {
+	remove(keys: Iterable<string>): void {
 		for (const key of keys) {
 			this.#tokens -= this.#parts.get(key) ?? 0;
 			this.#parts.delete(key);
--- a/src/routing/load.ts
+++ b/src/routing/load.ts
@@ -24,7 +24,7 @@
 };
 
 /** The load that a new request would meet. */
-export type Estimate = {
+export type LoadEstimate = {
 	readonly requests: number;
 	readonly prefillTokens: number;
 	readonly decodeTokens: number;
@@ -56,36 +56,36 @@
 		this.#reportLagMs = reportLagMs;
 	}
 
-	report(server: string, report: LoadReport, nowMs: number): void {
+	recordReport(server: string, report: LoadReport, nowMs: number): void {
 		const engine = this.#engineOf(server);
 		engine.report = report;
 		engine.reportMs = nowMs;
 	}
 
 	/** Notes a request that was sent. */
-	begin(server: string, id: string, size: WorkSize, nowMs: number): void {
+	startRequest(server: string, id: string, size: WorkSize, nowMs: number): void {
 		this.#engineOf(server).flights.set(id, {size, sentMs: nowMs, hasFirstToken: false});
 	}
 
 	/** Notes that a request's prefill is over. */
-	noteFirstToken(server: string, id: string): void {
+	recordFirstToken(server: string, id: string): void {
 		const flight = this.#engines.get(server)?.flights.get(id);
 		if (flight) {
 			flight.hasFirstToken = true;
 		}
 	}
 
-	end(server: string, id: string): void {
+	endRequest(server: string, id: string): void {
 		this.#engines.get(server)?.flights.delete(id);
 	}
 
 	/** This host's own requests in flight at a server. */
-	countOwn(server: string): number {
+	countInFlight(server: string): number {
 		return this.#engines.get(server)?.flights.size ?? 0;
 	}
 
 	/** Estimates the load that a new request meets: the report, plus own requests that it cannot contain yet. */
-	estimate(server: string): Estimate {
+	estimate(server: string): LoadEstimate {
 		const engine = this.#engines.get(server);
 		if (!engine) {
 			return {requests: 0, prefillTokens: 0, decodeTokens: 0};
--- a/src/routing/stages.ts
+++ b/src/routing/planner.ts
@@ -4,9 +4,9 @@
  * @module
  */
 import {ENGINE_ROLES, type EngineRole} from './choice.js';
-import type {EngineFacts} from './enginestate.js';
+import type {EngineInfo} from './engine.js';
 
-export type StageChange = {
+export type PoolRoleChange = {
 	readonly server: string;
 	readonly role: EngineRole;
 	readonly reason: string;
@@ -19,9 +19,9 @@
 /** A wrong share must last this long: engines that restart are back within seconds, milliseconds. */
 const SETTLE_MS = 3000;
 
-export type Moment = {
+export type PlanningContext = {
 	readonly nowMs: number;
-	readonly isNew: boolean;
+	readonly isStartup: boolean;
 };
 
 /** Plans role changes for the pools of a system. A step machine: time is handed in. */
@@ -38,8 +38,8 @@
 	 * planner.plan(engines, {nowMs, isNew: true}); // [{server: 'e3', role: 'prefill', reason: '3 of 8 engines read, 5 should'}]
 	 * ```
 	 */
-	plan(engines: readonly EngineFacts[], when: Moment): StageChange[] {
-		const pools = new Map<string, EngineFacts[]>();
+	plan(engines: readonly EngineInfo[], when: PlanningContext): PoolRoleChange[] {
+		const pools = new Map<string, EngineInfo[]>();
 		for (const engine of engines) {
 			pools.set(engine.service, [...pools.get(engine.service) ?? [], engine]);
 		}
@@ -47,7 +47,7 @@
 		return [...pools].flatMap(([service, pool]) => this.#planPool(service, pool, when));
 	}
 
-	#planPool(service: string, pool: readonly EngineFacts[], {nowMs, isNew}: Moment): StageChange[] {
+	#planPool(service: string, pool: readonly EngineInfo[], {nowMs, isStartup}: PlanningContext): PoolRoleChange[] {
 		const readers = pool.filter(({role}) => role === ENGINE_ROLES.prefill);
 		const runners = pool.filter(({role}) => role === ENGINE_ROLES.decode);
 		const wanted = Math.min(pool.length - 1, Math.round(pool.length * READER_SHARE));
@@ -59,7 +59,7 @@
 
 		const sinceMs = this.#wrongSinceMs.get(service) ?? nowMs;
 		this.#wrongSinceMs.set(service, sinceMs);
-		if (!isNew && nowMs - sinceMs < SETTLE_MS) {
+		if (!isStartup && nowMs - sinceMs < SETTLE_MS) {
 			return [];
 		}
 
@@ -72,9 +72,9 @@
 }
 
 /** Picks engines from the data centres that have most of them. */
-function pickSpread(engines: readonly EngineFacts[], count: number): EngineFacts[] {
+function pickSpread(engines: readonly EngineInfo[], count: number): EngineInfo[] {
 	const left = [...engines].toSorted((a, b) => a.server.localeCompare(b.server));
-	const picked: EngineFacts[] = [];
+	const picked: EngineInfo[] = [];
 	while (picked.length < count && left.length > 1) {
 		const sizes = new Map<string, number>();
 		for (const {dataCentre} of left) {
--- a/src/routing/poison.ts
+++ b/src/routing/poison.ts
@@ -13,8 +13,8 @@
 /** Crashes, accounted for or not, after which it is refused: some crash their server now and then. */
 export const CRASH_LIMIT = 4;
 
-export const VERDICTS = {clear: 'clear', suspect: 'suspect', poisoned: 'poisoned'} as const;
-export type PoisonVerdict = keyof typeof VERDICTS;
+export const POISON_STATES = {clear: 'clear', suspect: 'suspect', poisoned: 'poisoned'} as const;
+export type PoisonState = keyof typeof POISON_STATES;
 
 /** What all hosts know of a request that was running when servers died. */
 export type CrashRecord = {
@@ -32,11 +32,11 @@
  * judgeRequest({servers: ['e1#1'], acquitted: []}); // 'suspect'
  * ```
  */
-export function judgeRequest({servers, acquitted = []}: CrashRecord): PoisonVerdict {
+export function classifyRequest({servers, acquitted = []}: CrashRecord): PoisonState {
 	const open = servers.filter(server => !acquitted.includes(server)).length;
 	if (open >= POISON_LIMIT || servers.length >= CRASH_LIMIT) {
-		return VERDICTS.poisoned;
+		return POISON_STATES.poisoned;
 	}
 
-	return open > 0 ? VERDICTS.suspect : VERDICTS.clear;
+	return open > 0 ? POISON_STATES.suspect : POISON_STATES.clear;
 }
--- a/src/routing/reading.ts
+++ b/src/routing/prefill.ts
@@ -3,14 +3,14 @@
  *
  * @module
  */
-import {estimateReadMs, type EngineState, type Flight} from './enginestate.js';
+import {estimatePrefillMs, type EngineState, type RequestSize} from './engine.js';
 
 /** How an engine would read a prompt. */
-export type ReadPlan = {
+export type PrefillPlan = {
 	readonly workMs: number;
 	readonly cachedTokens: number;
 	/** What it costs others that the engine comes to hold more. */
-	readonly evictionMs: number;
+	readonly evictionCostMs: number;
 	/** Engine to fetch shared parts from. */
 	readonly source: string | undefined;
 };
@@ -38,11 +38,11 @@
  * planRead(engine, request, engines); // {workMs: 65, cachedTokens: 13300, evictionMs: 0, source: 'e3'}
  * ```
  */
-export function planRead(engine: EngineState, request: Flight, holders: readonly EngineState[]): ReadPlan {
+export function planPrefill(engine: EngineState, request: RequestSize, holders: readonly EngineState[]): PrefillPlan {
 	const own = engine.countCached(request.parts);
-	const evictionMs = estimateReadMs(Math.max(0, sharedTokens(request) - own), 0) * EVICTION_WEIGHT;
-	let plan: ReadPlan = {
-		workMs: engine.readMs(request, own), cachedTokens: own, evictionMs, source: undefined,
+	const evictionCostMs = estimatePrefillMs(Math.max(0, sharedTokens(request) - own), 0) * EVICTION_WEIGHT;
+	let plan: PrefillPlan = {
+		workMs: engine.prefillMs(request, own), cachedTokens: own, evictionCostMs, source: undefined,
 	};
 	for (const holder of holders) {
 		const held = holder === engine ? 0 : holder.countFetchable(request.parts);
@@ -50,11 +50,11 @@
 			continue;
 		}
 
-		const fetchMs = FETCH_MS + transferMs({promptTokens: held - own}, holder.facts.dataCentre, engine.facts.dataCentre);
-		const workMs = engine.readMs(request, held) + fetchMs;
+		const fetchMs = FETCH_MS + estimateTransferMs({promptTokens: held - own}, holder.info.dataCentre, engine.info.dataCentre);
+		const workMs = engine.prefillMs(request, held) + fetchMs;
 		if (workMs < plan.workMs) {
 			plan = {
-				workMs, cachedTokens: held, evictionMs, source: holder.facts.server,
+				workMs, cachedTokens: held, evictionCostMs, source: holder.info.server,
 			};
 		}
 	}
@@ -63,7 +63,7 @@
 }
 
 /** Tokens that other requests may share: all but the last part. */
-function sharedTokens({parts, promptTokens}: Flight): number {
+function sharedTokens({parts, promptTokens}: RequestSize): number {
 	return Math.max(0, promptTokens - (parts.at(-1)?.tokens ?? promptTokens));
 }
 
@@ -75,7 +75,7 @@
  * transferMs({promptTokens: 17_000}, 'a', 'b'); // 23.8
  * ```
  */
-export function transferMs(request: Pick<Flight, 'promptTokens'>, from: string | undefined, to: string): number {
+export function estimateTransferMs(request: Pick<RequestSize, 'promptTokens'>, from: string | undefined, to: string): number {
 	const factor = from === undefined || from === to ? 1 : CROSSING_TRANSFER_FACTOR;
 	return (request.promptTokens / 1000) * TRANSFER_MS_PER_THOUSAND * factor;
 }
--- a/src/routing/prefix.ts
+++ b/src/routing/prefix.ts
@@ -78,13 +78,13 @@
 	}
 
 	/** Number of leading blocks that may be expected at a server, by what its answers have confirmed so far. */
-	expectCached(server: string, hashes: readonly number[], isHome: boolean): number {
+	estimateCached(server: string, hashes: readonly number[], isHome: boolean): number {
 		const believed = isHome ? Math.max(this.countSeen(hashes), this.countCached(server, hashes)) : this.countCached(server, hashes);
 		return Math.round(believed * (this.#servers.get(server)?.trust ?? 1));
 	}
 
 	/** Takes what a server says it had cached, against what was believed. */
-	confirm(server: string, believedBlocks: number, cachedBlocks: number): void {
+	recordHits(server: string, believedBlocks: number, cachedBlocks: number): void {
 		if (believedBlocks > 0) {
 			const cache = this.#cacheOf(server);
 			cache.trust += (Math.min(1, cachedBlocks / believedBlocks) - cache.trust) * TRUST_WEIGHT;
@@ -92,7 +92,7 @@
 	}
 
 	/** Notes that a server has computed a prompt. */
-	note(server: string, hashes: readonly number[]): void {
+	record(server: string, hashes: readonly number[]): void {
 		for (const hash of hashes) {
 			this.#seen.delete(hash);
 			this.#seen.set(hash, true);
@@ -109,7 +109,7 @@
 	}
 
 	/** Takes a cache event; after a gap or a restart what was believed is forgotten. */
-	apply(server: string, event: CacheEvent): void {
+	applyEvent(server: string, event: CacheEvent): void {
 		const cache = this.#cacheOf(server);
 		if (event.incarnation < cache.incarnation || (event.incarnation === cache.incarnation && event.sequence <= cache.sequence)) {
 			return;
@@ -126,10 +126,10 @@
 			cache.blocks.delete(hash);
 		}
 
-		this.note(server, event.stored);
+		this.record(server, event.stored);
 	}
 
-	forget(server: string): void {
+	removeServer(server: string): void {
 		this.#servers.delete(server);
 	}
 
@@ -165,7 +165,7 @@
  * findHome(['e1', 'e2'], hash); // 'e2', on every host
  * ```
  */
-export function findHome(servers: readonly string[], hash: number): string | undefined {
+export function findPrefixOwner(servers: readonly string[], hash: number): string | undefined {
 	let best: string | undefined;
 	let bestScore = -1;
 	for (const server of servers) {
--- a/src/routing/readqueue.ts
+++ b/src/routing/queue.ts
@@ -7,7 +7,7 @@
  */
 
 /** A prompt to read. */
-export type ReadTask = {
+export type PrefillTask = {
 	/** Time that the engine is busy with it, milliseconds. */
 	readonly workMs: number;
 	/** 0 is the most urgent. */
@@ -15,28 +15,28 @@
 };
 
 /** How a task fared. */
-export type ReadReport = {
+export type PrefillReport = {
 	/** Time that the engine was busy with it, milliseconds. */
 	readonly busyMs: number;
 	/** The same as it was expected. */
 	readonly workMs: number;
 	/** Time from its arrival to its end. */
-	readonly tookMs: number;
+	readonly totalMs: number;
 	/** Whether it found the engine with nothing to read. */
-	readonly wasAlone: boolean;
+	readonly wasIdle: boolean;
 };
 
-type Entry = ReadTask & {
+type Entry = PrefillTask & {
 	readonly givenMs: number;
 	/** When it should be read, as expected at its arrival. */
 	readonly dueMs: number;
-	readonly wasAlone: boolean;
+	readonly wasIdle: boolean;
 	/** When the engine should be through with it; undefined while it waits. */
 	endMs: number | undefined;
 };
 
 /** The queue of one engine. */
-export class ReadQueue {
+export class PrefillQueue {
 	readonly #entries = new Map<string, Entry>();
 	/** When the engine is through with what it has begun. */
 	#freeMs = Number.NEGATIVE_INFINITY;
@@ -61,7 +61,7 @@
 	}
 
 	/** Prompts that would wait behind a new one of some urgency. */
-	countBehind(priority: number, nowMs: number): number {
+	countLowerPriority(priority: number, nowMs: number): number {
 		this.#advance(nowMs);
 		let count = 0;
 		for (const entry of this.#entries.values()) {
@@ -71,10 +71,10 @@
 		return count;
 	}
 
-	add(id: string, task: ReadTask, nowMs: number): void {
+	add(id: string, task: PrefillTask, nowMs: number): void {
 		const waitMs = this.waitMs(task.priority, nowMs);
 		this.#entries.set(id, {
-			...task, givenMs: nowMs, dueMs: nowMs + waitMs + task.workMs, wasAlone: waitMs === 0, endMs: undefined,
+			...task, givenMs: nowMs, dueMs: nowMs + waitMs + task.workMs, wasIdle: waitMs === 0, endMs: undefined,
 		});
 		this.#advance(nowMs);
 	}
@@ -84,7 +84,7 @@
 	 *
 	 * @param atMs - When the engine was through with it.
 	 */
-	finish(id: string, atMs: number): ReadReport | undefined {
+	complete(id: string, atMs: number): PrefillReport | undefined {
 		const entry = this.#entries.get(id);
 		if (!entry) {
 			return undefined;
@@ -100,7 +100,7 @@
 		}
 
 		return {
-			busyMs: Math.max(0, atMs - beganMs), workMs: entry.workMs, tookMs: atMs - entry.givenMs, wasAlone: entry.wasAlone,
+			busyMs: Math.max(0, atMs - beganMs), workMs: entry.workMs, totalMs: atMs - entry.givenMs, wasIdle: entry.wasIdle,
 		};
 	}
 
--- a/src/routing/roles.ts
+++ b/src/routing/roles.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import {ENGINE_ROLES, type EngineRole, type Speed} from './choice.js';
+import {ENGINE_ROLES, type EngineRole, type EngineSpeed} from './choice.js';
 import {MIN_HANDOFF_TOKENS} from './handoff.js';
 
 const BATCH_OF_A_BUSY_ENGINE = 42;
@@ -17,7 +17,7 @@
 	readonly decode: number;
 };
 
-export type RoledEngine = {
+export type RoleCandidate = {
 	readonly server: string;
 	readonly role: EngineRole;
 	/** Requests it holds; the emptiest engine is changed first. */
@@ -28,21 +28,21 @@
 	/** Time over which a change must pay, seconds. */
 	readonly horizonSeconds: number;
 	/** Time that a change takes an engine away, seconds. */
-	readonly awaySeconds: number;
+	readonly downtimeSeconds: number;
 	/** Engine-seconds that a change must gain beyond its own cost. */
 	readonly changeWeight: number;
 	/** Shortest time between two changes of one pool, seconds. */
-	readonly dwellSeconds: number;
+	readonly cooldownSeconds: number;
 	/** Utilisation above which an engine cannot keep its deadlines. */
 	readonly targetUtilisation: number;
 };
 
-export const PROFILES = {
+export const ROLE_PROFILES = {
 	tallgrass: {
-		horizonSeconds: 45, awaySeconds: 4, changeWeight: 2, dwellSeconds: 5, targetUtilisation: 0.7,
+		horizonSeconds: 45, downtimeSeconds: 4, changeWeight: 2, cooldownSeconds: 5, targetUtilisation: 0.7,
 	},
 	hrafnsvik: {
-		horizonSeconds: 90, awaySeconds: 4, changeWeight: 25, dwellSeconds: 60, targetUtilisation: 0.8,
+		horizonSeconds: 90, downtimeSeconds: 4, changeWeight: 25, cooldownSeconds: 60, targetUtilisation: 0.8,
 	},
 } as const satisfies Record<string, RoleProfile>;
 
@@ -65,11 +65,11 @@
  */
 export function chooseRoleChange(
 	demand: Demand,
-	engines: readonly RoledEngine[],
+	engines: readonly RoleCandidate[],
 	sinceChangeSeconds: number,
 	profile: RoleProfile,
 ): RoleChange | undefined {
-	if (sinceChangeSeconds < profile.dwellSeconds || engines.length < 2) {
+	if (sinceChangeSeconds < profile.cooldownSeconds || engines.length < 2) {
 		return undefined;
 	}
 
@@ -90,7 +90,7 @@
 		}
 
 		const removed = now - overload(demand, next, profile);
-		const gain = (removed * profile.horizonSeconds) - profile.awaySeconds - profile.changeWeight;
+		const gain = (removed * profile.horizonSeconds) - profile.downtimeSeconds - profile.changeWeight;
 		const reason = `prefill needs ${demand.prefill.toFixed(1)} of ${counts.prefill} engines, decode ${demand.decode.toFixed(1)} of ${counts.decode}`;
 		return {
 			server: emptiest.server, role, gain, reason,
@@ -104,7 +104,7 @@
 	return excess(demand.prefill, counts.prefill) + excess(demand.decode, counts.decode);
 }
 
-function countRoles(engines: readonly RoledEngine[]): Demand {
+function countRoles(engines: readonly RoleCandidate[]): Demand {
 	const prefill = engines.filter(engine => engine.role === ENGINE_ROLES.prefill).length;
 	const mixed = engines.filter(engine => engine.role === ENGINE_ROLES.mixed).length;
 	return {prefill: prefill + (mixed / 2), decode: engines.length - prefill - (mixed / 2)};
@@ -118,7 +118,7 @@
  * estimateWork({promptTokens: 3200, outputTokens: 80}, DEFAULT_SPEED).prefillMs; // 400
  * ```
  */
-export function estimateWork(shape: {readonly promptTokens: number; readonly outputTokens: number}, speed: Speed): {readonly prefillMs: number; readonly decodeMs: number} {
+export function estimateEngineTime(shape: {readonly promptTokens: number; readonly outputTokens: number}, speed: EngineSpeed): {readonly prefillMs: number; readonly decodeMs: number} {
 	const perTokenMs = (speed.stepMs / BATCH_OF_A_BUSY_ENGINE) + speed.stepMsPerRequest;
 	const promptMs = shape.promptTokens / speed.prefillTokensPerMs;
 	const decodeMs = shape.outputTokens * perTokenMs;
@@ -127,7 +127,7 @@
 }
 
 /** Follows the demand over a window. A step machine: time is handed in. */
-export class DemandMeter {
+export class DemandEstimator {
 	readonly #windowMs: number;
 	#prefill = 0;
 	#decode = 0;
@@ -139,13 +139,13 @@
 	}
 
 	/** Notes a request's work, in engine-milliseconds of each kind. */
-	note(prefillMs: number, decodeMs: number, nowMs: number): void {
+	record(prefillMs: number, decodeMs: number, nowMs: number): void {
 		this.#decay(nowMs);
 		this.#prefill += prefillMs / this.#windowMs;
 		this.#decode += decodeMs / this.#windowMs;
 	}
 
-	read(nowMs: number): Demand {
+	current(nowMs: number): Demand {
 		this.#decay(nowMs);
 		return {prefill: this.#prefill, decode: this.#decode};
 	}
--- a/src/routing/catalogue.ts
+++ b/src/routing/routes.ts
@@ -8,26 +8,26 @@
 import type {Random} from '../base/random.js';
 
 /** What may be done again with a request: anything, nothing, or (a stream) as the route says. */
-export const REPEATS = {repeatable: 'repeatable', once: 'once', stream: 'stream'} as const;
-export type Repeat = keyof typeof REPEATS;
+export const ROUTE_KINDS = {repeatable: 'repeatable', once: 'once', stream: 'stream'} as const;
+export type RouteKind = keyof typeof ROUTE_KINDS;
 
 export type WeightedService = {
 	readonly service: string;
 	readonly weight: number;
 };
 
-export type Rule = {
+export type Route = {
 	readonly name: string;
 	readonly host: string;
 	/** Begins and ends with a slash. */
 	readonly prefix: string;
-	readonly repeat: Repeat;
+	readonly kind: RouteKind;
 	/** Longest time that a caller is kept, milliseconds. */
 	readonly timeoutMs: number;
 	/** Time within which an answer (of a stream: its first event) is worth most, milliseconds. */
 	readonly objectiveMs: number;
 	/** Longest pause between events that is still on time, milliseconds. */
-	readonly gapMs: number;
+	readonly interTokenTargetMs: number;
 	/** 0 is the most urgent. */
 	readonly priority: number;
 	readonly targets: readonly WeightedService[];
@@ -59,9 +59,9 @@
 	readonly idleTimeoutMs: number;
 };
 
-export type Catalogue = {
+export type RoutingConfig = {
 	readonly version: number;
-	readonly rules: readonly Rule[];
+	readonly routes: readonly Route[];
 	readonly services: readonly ServiceSpec[];
 	readonly limits: CallerLimits;
 };
@@ -74,37 +74,37 @@
  * checkCatalogue(catalogue); // Either.left: 'Route r-1 names the unknown service s-9.'
  * ```
  */
-export function checkCatalogue(catalogue: Catalogue): Either.Either<Problem, Catalogue> {
-	const services = new Set(catalogue.services.map(({name}) => name));
+export function validateRoutingConfig(config: RoutingConfig): Either.Either<Problem, RoutingConfig> {
+	const services = new Set(config.services.map(({name}) => name));
 	const places = new Set<string>();
-	for (const rule of catalogue.rules) {
-		const fault = findRuleFault(rule, services, places);
+	for (const route of config.routes) {
+		const fault = findRuleFault(route, services, places);
 		if (fault !== undefined) {
-			return Either.left(createProblem('publicationInvalid', `Route ${rule.name} ${fault}.`));
+			return Either.left(createProblem('publicationInvalid', `Route ${route.name} ${fault}.`));
 		}
 
-		places.add(placeOf(rule));
+		places.add(placeOf(route));
 	}
 
-	return Either.right(catalogue);
+	return Either.right(config);
 }
 
 /** Finds routes by host and longest prefix. */
-export class RuleTable {
-	readonly catalogue: Catalogue;
-	readonly #byHost = new Map<string, Rule[]>();
+export class RouteTable {
+	readonly config: RoutingConfig;
+	readonly #byHost = new Map<string, Route[]>();
 	readonly #services: ReadonlyMap<string, ServiceSpec>;
 
-	constructor(catalogue: Catalogue) {
-		this.catalogue = catalogue;
-		this.#services = new Map(catalogue.services.map(service => [service.name, service]));
-		for (const rule of catalogue.rules) {
-			const host = rule.host.toLowerCase();
-			this.#byHost.set(host, [...this.#byHost.get(host) ?? [], rule]);
+	constructor(config: RoutingConfig) {
+		this.config = config;
+		this.#services = new Map(config.services.map(service => [service.name, service]));
+		for (const route of config.routes) {
+			const host = route.host.toLowerCase();
+			this.#byHost.set(host, [...this.#byHost.get(host) ?? [], route]);
 		}
 
-		for (const rules of this.#byHost.values()) {
-			rules.sort((a, b) => b.prefix.length - a.prefix.length);
+		for (const routes of this.#byHost.values()) {
+			routes.sort((a, b) => b.prefix.length - a.prefix.length);
 		}
 	}
 
@@ -114,10 +114,10 @@
 	 * @param host - As in the host header, with or without a port.
 	 * @param target - Request target; a query is ignored.
 	 */
-	match(host: string, target: string): Rule | undefined {
+	match(host: string, target: string): Route | undefined {
 		const path = target.split('?', 1)[0]!;
 		const name = host.toLowerCase().replace(/:\d+$/v, '');
-		return this.#byHost.get(name)?.find(rule => path.startsWith(rule.prefix));
+		return this.#byHost.get(name)?.find(route => path.startsWith(route.prefix));
 	}
 
 	findService(name: string): ServiceSpec | undefined {
@@ -133,36 +133,36 @@
  * chooseService(rule, () => 0.95); // the second of two services that are weighted 90 to 10
  * ```
  */
-export function chooseService(rule: Rule, random: Random): string {
-	const total = rule.targets.reduce((sum, {weight}) => sum + weight, 0);
+export function chooseService(route: Route, random: Random): string {
+	const total = route.targets.reduce((sum, {weight}) => sum + weight, 0);
 	let point = random() * total;
-	for (const {service, weight} of rule.targets) {
+	for (const {service, weight} of route.targets) {
 		point -= weight;
 		if (point < 0) {
 			return service;
 		}
 	}
 
-	return rule.targets.findLast(({weight}) => weight > 0)?.service ?? '';
+	return route.targets.findLast(({weight}) => weight > 0)?.service ?? '';
 }
 
-function findRuleFault(rule: Rule, services: ReadonlySet<string>, places: ReadonlySet<string>): string | undefined {
-	const unknown = rule.targets.find(({service}) => !services.has(service));
+function findRuleFault(route: Route, services: ReadonlySet<string>, places: ReadonlySet<string>): string | undefined {
+	const unknown = route.targets.find(({service}) => !services.has(service));
 	if (unknown) {
 		return `names the unknown service ${unknown.service}`;
 	}
 
-	if (places.has(placeOf(rule))) {
-		return `has the host and prefix of another: ${placeOf(rule)}`;
+	if (places.has(placeOf(route))) {
+		return `has the host and prefix of another: ${placeOf(route)}`;
 	}
 
-	if (rule.targets.some(({weight}) => weight < 0) || rule.targets.reduce((sum, {weight}) => sum + weight, 0) <= 0) {
+	if (route.targets.some(({weight}) => weight < 0) || route.targets.reduce((sum, {weight}) => sum + weight, 0) <= 0) {
 		return 'has weights that add up to nothing';
 	}
 
-	return rule.timeoutMs > 0 ? undefined : 'has no time-out';
+	return route.timeoutMs > 0 ? undefined : 'has no time-out';
 }
 
-function placeOf({host, prefix}: Rule): string {
+function placeOf({host, prefix}: Route): string {
 	return `${host.toLowerCase()}${prefix}`;
 }
--- a/src/routing/placer.ts
+++ b/src/routing/scheduler.ts
@@ -8,11 +8,11 @@
  * @module
  */
 import {ENGINE_ROLES} from './choice.js';
-import {EngineState, type EngineFacts, type Flight} from './enginestate.js';
-import type {PromptPart} from './parts.js';
-import {planRead, transferMs, type ReadPlan} from './reading.js';
+import {EngineState, type EngineInfo, type RequestSize} from './engine.js';
+import type {PromptPart} from './kvcache.js';
+import {planPrefill, estimateTransferMs, type PrefillPlan} from './prefill.js';
 
-export type PlacingRequest = {
+export type PlacementRequest = {
 	readonly id: string;
 	readonly service: string;
 	readonly dataCentre: string;
@@ -30,9 +30,9 @@
 };
 
 /** What a placer needs to know of a request that another one placed. */
-export type ObservedRequest = Pick<PlacingRequest, 'id' | 'service' | 'parts' | 'promptTokens' | 'outputTokens' | 'patienceMs'>;
+export type ObservedRequest = Pick<PlacementRequest, 'id' | 'service' | 'parts' | 'promptTokens' | 'outputTokens' | 'patienceMs'>;
 
-export type PlacingDecision
+export type PlacementDecision
 	= | {
 		readonly type: 'assignment';
 		readonly id: string;
@@ -102,7 +102,7 @@
 
 type Open = {
 	/** Undefined if another placer decided. */
-	readonly request: PlacingRequest | undefined;
+	readonly request: PlacementRequest | undefined;
 	readonly expiresMs: number;
 	reader: string | undefined;
 	runner: string | undefined;
@@ -110,7 +110,7 @@
 
 type Option = {
 	readonly engine: EngineState;
-	readonly plan: ReadPlan;
+	readonly plan: PrefillPlan;
 	/** Time until the prompt is read. */
 	readonly readMs: number;
 	/** The same, with what it costs others. */
@@ -121,18 +121,18 @@
 	/** Engine that reads ahead; without it the runner reads. */
 	readonly reader: EngineState | undefined;
 	readonly runner: EngineState | undefined;
-	readonly plan: ReadPlan;
+	readonly plan: PrefillPlan;
 	/** Time until the first event. */
 	readonly firstMs: number;
 };
 
 /** The placer of one or more pools. */
-export class Placer {
+export class Scheduler {
 	readonly #engines = new Map<string, EngineState>();
 	readonly #open = new Map<string, Open>();
 
 	/** Replaces the engines to choose from; what is known of those that stay is kept. */
-	updateEngines(engines: readonly EngineFacts[]): void {
+	updateEngines(engines: readonly EngineInfo[]): void {
 		const names = new Set(engines.map(({server}) => server));
 		for (const server of this.#engines.keys()) {
 			if (!names.has(server)) {
@@ -142,8 +142,8 @@
 
 		for (const facts of engines) {
 			const known = this.#engines.get(facts.server);
-			if (known?.facts.incarnation === facts.incarnation) {
-				known.facts = facts;
+			if (known?.info.incarnation === facts.incarnation) {
+				known.info = facts;
 			} else {
 				this.#engines.set(facts.server, new EngineState(facts));
 			}
@@ -156,7 +156,7 @@
 	}
 
 	/** Decides for a new request, or again for one whose engine failed. */
-	offer(request: PlacingRequest, nowMs: number): PlacingDecision {
+	place(request: PlacementRequest, nowMs: number): PlacementDecision {
 		this.#expire(nowMs);
 		this.#forget(request.id, nowMs);
 		const inTime = this.#choose(request, nowMs, false);
@@ -179,18 +179,18 @@
 	}
 
 	/** Notes where a request runs on another placer's word, to take over from it if need be. */
-	observe(request: ObservedRequest, reader: string | undefined, runner: string, nowMs: number): void {
+	recordPlacement(request: ObservedRequest, reader: string | undefined, runner: string, nowMs: number): void {
 		this.#forget(request.id, nowMs);
 		const open: Open = {
 			request: undefined, expiresMs: nowMs + request.patienceMs + FLIGHT_GRACE_MS, reader, runner,
 		};
 		this.#open.set(request.id, open);
-		this.#engines.get(reader ?? '')?.learn(request.parts);
-		this.#engines.get(runner)?.beginRun(request.id, toFlight(request), undefined);
+		this.#engines.get(reader ?? '')?.recordCached(request.parts);
+		this.#engines.get(runner)?.startRun(request.id, toFlight(request), undefined);
 	}
 
 	/** Decides where a request runs whose prompt was read on another placer's word. */
-	goOn(request: PlacingRequest, reader: string, nowMs: number): PlacingDecision {
+	chooseRunner(request: PlacementRequest, reader: string, nowMs: number): PlacementDecision {
 		this.#forget(request.id, nowMs);
 		const open: Open = {
 			request, expiresMs: nowMs + request.patienceMs + FLIGHT_GRACE_MS, reader, runner: undefined,
@@ -200,7 +200,7 @@
 	}
 
 	/** Takes how far a request is; answers with a runner once its prompt is read. */
-	note(id: string, milestone: MilestoneName, server: string | undefined, nowMs: number): PlacingDecision | undefined {
+	recordMilestone(id: string, milestone: MilestoneName, server: string | undefined, nowMs: number): PlacementDecision | undefined {
 		const open = this.#open.get(id);
 		if (server !== undefined && (milestone === MILESTONES.failed || milestone === MILESTONES.refused)) {
 			this.#suspect(server, milestone === MILESTONES.failed, nowMs);
@@ -212,19 +212,19 @@
 
 		switch (milestone) {
 			case MILESTONES.read: {
-				this.#engines.get(open.reader ?? '')?.endRead(id, nowMs);
+				this.#engines.get(open.reader ?? '')?.completePrefill(id, nowMs);
 				return open.request && this.#assignRunner(open, open.request, nowMs);
 			}
 
 			case MILESTONES.first: {
 				const runner = this.#engines.get(open.runner ?? '');
-				runner?.endRead(id, nowMs);
-				runner?.noteFirst(id, nowMs);
+				runner?.completePrefill(id, nowMs);
+				runner?.recordFirstEvent(id, nowMs);
 				return undefined;
 			}
 
 			case MILESTONES.done: {
-				this.#engines.get(open.runner ?? '')?.noteOutcome(false, nowMs);
+				this.#engines.get(open.runner ?? '')?.recordOutcome(false, nowMs);
 				this.#forget(id, nowMs);
 				return undefined;
 			}
@@ -241,14 +241,14 @@
 		const engine = this.#engines.get(server);
 		engine?.suspect(nowMs + (isFailure ? SUSPICION_MS : REFUSAL_MS), nowMs);
 		if (isFailure) {
-			engine?.noteOutcome(true, nowMs);
+			engine?.recordOutcome(true, nowMs);
 		}
 	}
 
 	/** The engines that bring the first event soonest; undefined if none makes tokens. */
-	#choose(request: PlacingRequest, nowMs: number, isLate: boolean): Choice | undefined {
+	#choose(request: PlacementRequest, nowMs: number, isLate: boolean): Choice | undefined {
 		const holders = this.#listEngines(request).filter(engine => !engine.isSuspected(nowMs));
-		const readers = holders.filter(({facts}) => facts.role === ENGINE_ROLES.prefill);
+		const readers = holders.filter(({info: facts}) => facts.role === ENGINE_ROLES.prefill);
 		const runners = this.#listRunners(request, nowMs);
 		const direct = best(runners.map(engine => this.#readOption(engine, request, holders, {nowMs, isLate})));
 		if (!direct) {
@@ -268,18 +268,18 @@
 		};
 	}
 
-	#assign(request: PlacingRequest, {reader, runner, plan, firstMs}: Choice, isLate: boolean, nowMs: number): PlacingDecision {
+	#assign(request: PlacementRequest, {reader, runner, plan, firstMs}: Choice, isLate: boolean, nowMs: number): PlacementDecision {
 		const engine = reader ?? runner!;
 		this.#open.set(request.id, {
-			request, expiresMs: nowMs + request.patienceMs + FLIGHT_GRACE_MS, reader: reader?.facts.server, runner: runner?.facts.server,
+			request, expiresMs: nowMs + request.patienceMs + FLIGHT_GRACE_MS, reader: reader?.info.server, runner: runner?.info.server,
 		});
-		engine.beginRead(request.id, toFlight(request), {workMs: plan.workMs, priority: isLate ? LATE_PRIORITY : request.priority}, nowMs);
-		runner?.beginRun(request.id, toFlight(request), nowMs + firstMs);
+		engine.startPrefill(request.id, toFlight(request), {workMs: plan.workMs, priority: isLate ? LATE_PRIORITY : request.priority}, nowMs);
+		runner?.startRun(request.id, toFlight(request), nowMs + firstMs);
 		return {
 			type: 'assignment',
 			id: request.id,
-			reader: reader?.facts.server,
-			runner: runner?.facts.server,
+			reader: reader?.info.server,
+			runner: runner?.info.server,
 			source: plan.source,
 			cachedTokens: plan.cachedTokens,
 			expectedMs: Math.round(firstMs),
@@ -287,12 +287,12 @@
 		};
 	}
 
-	#assignRunner(open: Open, request: PlacingRequest, nowMs: number): PlacingDecision {
+	#assignRunner(open: Open, request: PlacementRequest, nowMs: number): PlacementDecision {
 		const reader = this.#engines.get(open.reader ?? '');
 		let chosen: EngineState | undefined;
 		let lowestMs = Number.POSITIVE_INFINITY;
 		for (const engine of this.#listRunners(request, nowMs)) {
-			const costMs = this.#runCostMs(engine, request, nowMs) + transferMs(request, reader?.facts.dataCentre, engine.facts.dataCentre);
+			const costMs = this.#runCostMs(engine, request, nowMs) + estimateTransferMs(request, reader?.info.dataCentre, engine.info.dataCentre);
 			if (costMs < lowestMs) {
 				lowestMs = costMs;
 				chosen = engine;
@@ -303,52 +303,52 @@
 			return reject(request, 'no engine makes tokens', NO_ENGINE_RETRY_MS);
 		}
 
-		open.runner = chosen.facts.server;
-		chosen.beginRun(request.id, toFlight(request), nowMs + lowestMs + FIRST_EVENT_MS);
+		open.runner = chosen.info.server;
+		chosen.startRun(request.id, toFlight(request), nowMs + lowestMs + FIRST_EVENT_MS);
 		return {type: 'assignment', id: request.id, runner: open.runner};
 	}
 
 	/** Engines that make tokens; suspected ones too if there are no others. */
-	#listRunners(request: PlacingRequest, nowMs: number): EngineState[] {
-		const runners = this.#listEngines(request).filter(engine => engine.facts.role !== ENGINE_ROLES.prefill);
+	#listRunners(request: PlacementRequest, nowMs: number): EngineState[] {
+		const runners = this.#listEngines(request).filter(engine => engine.info.role !== ENGINE_ROLES.prefill);
 		const trusted = runners.filter(engine => !engine.isSuspected(nowMs));
 		return trusted.length > 0 ? trusted : runners;
 	}
 
-	#listEngines(request: PlacingRequest): EngineState[] {
-		return [...this.#engines.values()].filter(({facts}) => facts.service === request.service && !request.excluded.includes(facts.server));
+	#listEngines(request: PlacementRequest): EngineState[] {
+		return [...this.#engines.values()].filter(({info: facts}) => facts.service === request.service && !request.excluded.includes(facts.server));
 	}
 
-	#readOption(engine: EngineState, request: PlacingRequest, holders: readonly EngineState[], {nowMs, isLate}: {nowMs: number; isLate: boolean}): Option {
-		const plan = planRead(engine, request, holders);
-		const crossingMs = engine.facts.dataCentre === request.dataCentre ? 0 : CROSSING_MS;
+	#readOption(engine: EngineState, request: PlacementRequest, holders: readonly EngineState[], {nowMs, isLate}: {nowMs: number; isLate: boolean}): Option {
+		const plan = planPrefill(engine, request, holders);
+		const crossingMs = engine.info.dataCentre === request.dataCentre ? 0 : CROSSING_MS;
 		const priority = isLate ? LATE_PRIORITY : request.priority;
-		const readMs = engine.latencyMs + engine.waitMs(priority, nowMs) + plan.workMs + crossingMs;
-		const behindMs = engine.countBehind(priority, nowMs) * plan.workMs * BEHIND_WEIGHT;
+		const readMs = engine.overheadMs + engine.waitMs(priority, nowMs) + plan.workMs + crossingMs;
+		const behindMs = engine.countLowerPriority(priority, nowMs) * plan.workMs * BEHIND_WEIGHT;
 		const disturbance = 1 + (engine.runningCount * DISTURBANCE_WEIGHT);
-		const othersMs = engine.facts.role === ENGINE_ROLES.prefill
+		const othersMs = engine.info.role === ENGINE_ROLES.prefill
 			? failureCostMs(engine, nowMs)
 			: (plan.workMs * disturbance) + this.#runCostMs(engine, request, nowMs);
 		return {
-			engine, plan, readMs, costMs: readMs + plan.evictionMs + behindMs + othersMs,
+			engine, plan, readMs, costMs: readMs + plan.evictionCostMs + behindMs + othersMs,
 		};
 	}
 
 	/** What running a request at an engine costs it and the ones beside it, milliseconds. */
-	#runCostMs(engine: EngineState, request: PlacingRequest, nowMs: number): number {
-		const {slots, kvTokens} = engine.facts;
+	#runCostMs(engine: EngineState, request: PlacementRequest, nowMs: number): number {
+		const {slots, kvTokens} = engine.info;
 		const need = request.promptTokens + request.outputTokens;
 		const isFull = engine.runningCount >= slots || engine.contextTokens + need > kvTokens;
 		const excess = Math.max(0, engine.runningCount + 1 - slots) + Math.max(0, (engine.contextTokens + need - kvTokens) / need);
 		const waitMs = isFull ? FULL_MS * (1 + excess) : 0;
-		return (engine.contextMs(need) * (request.outputTokens + engine.runningCount)) + waitMs + failureCostMs(engine, nowMs);
+		return (engine.contextStepMs(need) * (request.outputTokens + engine.runningCount)) + waitMs + failureCostMs(engine, nowMs);
 	}
 
 	#forget(id: string, nowMs: number): void {
 		const open = this.#open.get(id);
 		this.#open.delete(id);
 		for (const server of [open?.reader, open?.runner]) {
-			this.#engines.get(server ?? '')?.end(id, nowMs);
+			this.#engines.get(server ?? '')?.endRequest(id, nowMs);
 		}
 	}
 
@@ -363,7 +363,7 @@
 
 /** What it costs that an engine is likely to fail a request, milliseconds. */
 function failureCostMs(engine: EngineState, nowMs: number): number {
-	return Math.max(0, engine.failureShare(nowMs) - FAILURE_TOLERANCE) * FAILURE_MS;
+	return Math.max(0, engine.failureRate(nowMs) - FAILURE_TOLERANCE) * FAILURE_MS;
 }
 
 function best(options: readonly Option[]): Option | undefined {
@@ -377,12 +377,12 @@
 	return found;
 }
 
-function reject(request: PlacingRequest, reason: string, retryAfterMs: number): PlacingDecision {
+function reject(request: PlacementRequest, reason: string, retryAfterMs: number): PlacementDecision {
 	return {
 		type: 'rejection', id: request.id, reason, retryAfterMs,
 	};
 }
 
-function toFlight({parts, promptTokens, outputTokens}: Flight): Flight {
+function toFlight({parts, promptTokens, outputTokens}: RequestSize): RequestSize {
 	return {parts, promptTokens, outputTokens};
 }
--- a/src/serving/caller.ts
+++ b/src/serving/caller.ts
@@ -8,7 +8,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import {createProblem, type Problem} from '../base/problem.js';
 
-export const ENDS = {
+export const CALL_OUTCOMES = {
 	/** Answered whole. */
 	answered: 'answered',
 	/** Refused or failed with an answer of our own. */
@@ -18,7 +18,7 @@
 	/** The caller closed its connection. */
 	gone: 'gone',
 } as const;
-export type End = keyof typeof ENDS;
+export type CallOutcome = keyof typeof CALL_OUTCOMES;
 
 export const FRAMINGS = {
 	/** The end of the answer is marked. */
@@ -32,24 +32,24 @@
 export class Caller {
 	readonly request: IncomingMessage;
 	readonly #response: ServerResponse;
-	readonly #onEnd: Array<(end: End) => void> = [];
-	#end: End | undefined;
+	readonly #onEnd: Array<(end: CallOutcome) => void> = [];
+	#end: CallOutcome | undefined;
 	#problem: Problem | undefined;
 
 	constructor(request: IncomingMessage, response: ServerResponse) {
 		this.request = request;
 		this.#response = response;
 		response.once('close', () => {
-			this.#finish(ENDS.gone);
+			this.#finish(CALL_OUTCOMES.gone);
 		});
 	}
 
-	get isOver(): boolean {
+	get isEnded(): boolean {
 		return this.#end !== undefined;
 	}
 
 	/** Whether the head of an answer has gone out. */
-	get hasBegun(): boolean {
+	get hasStartedResponse(): boolean {
 		return this.#response.headersSent;
 	}
 
@@ -62,7 +62,7 @@
 		return this.#response.statusCode;
 	}
 
-	onEnd(handler: (end: End) => void): void {
+	onEnd(handler: (end: CallOutcome) => void): void {
 		this.#onEnd.push(handler);
 	}
 
@@ -104,20 +104,20 @@
 	 *
 	 * @param framing - An open answer ends with its connection, as it came: nobody can tell whether it is whole.
 	 */
-	answer(status: number, headers: OutgoingHttpHeaders, body: Buffer, framing: Framing = FRAMINGS.closed): void {
-		if (this.isOver) {
+	respond(status: number, headers: OutgoingHttpHeaders, body: Buffer, framing: Framing = FRAMINGS.closed): void {
+		if (this.isEnded) {
 			return;
 		}
 
 		this.#open(framing);
 		this.#response.writeHead(status, framing === FRAMINGS.open ? headers : {...headers, 'content-length': body.length});
 		this.#response.end(body);
-		this.#finish(ENDS.answered);
+		this.#finish(CALL_OUTCOMES.answered);
 	}
 
 	/** Begins an answer that is passed on as it comes. */
-	begin(status: number, headers: OutgoingHttpHeaders, framing: Framing = FRAMINGS.closed): void {
-		if (!this.isOver) {
+	startResponse(status: number, headers: OutgoingHttpHeaders, framing: Framing = FRAMINGS.closed): void {
+		if (!this.isEnded) {
 			this.#open(framing);
 			this.#response.writeHead(status, headers);
 			this.#response.flushHeaders();
@@ -126,7 +126,7 @@
 
 	/** Passes a piece on; false if the caller does not keep up, `onDrain` is called once it does. */
 	write(chunk: Buffer, onDrain: () => void): boolean {
-		if (this.isOver || this.#response.write(chunk)) {
+		if (this.isEnded || this.#response.write(chunk)) {
 			return true;
 		}
 
@@ -135,23 +135,23 @@
 	}
 
 	/** Ends an answer that was passed on whole. */
-	finish(): void {
-		if (!this.isOver) {
+	endResponse(): void {
+		if (!this.isEnded) {
 			this.#response.end();
-			this.#finish(ENDS.answered);
+			this.#finish(CALL_OUTCOMES.answered);
 		}
 	}
 
 	/** Ends the request with a problem; an answer that has begun is broken off so that it does not look whole. */
 	fail(problem: Problem, headers: OutgoingHttpHeaders = {}): void {
-		if (this.isOver) {
+		if (this.isEnded) {
 			return;
 		}
 
 		this.#problem = problem;
-		if (this.hasBegun) {
+		if (this.hasStartedResponse) {
 			this.#response.destroy();
-			this.#finish(ENDS.broken);
+			this.#finish(CALL_OUTCOMES.broken);
 			return;
 		}
 
@@ -169,7 +169,7 @@
 			'carawayhoist-outcome': problem.verdict,
 		});
 		this.#response.end(body);
-		this.#finish(ENDS.refused);
+		this.#finish(CALL_OUTCOMES.refused);
 	}
 
 	#open(framing: Framing): void {
@@ -179,8 +179,8 @@
 		}
 	}
 
-	#finish(end: End): void {
-		if (this.isOver) {
+	#finish(end: CallOutcome): void {
+		if (this.isEnded) {
 			return;
 		}
 
--- a/src/serving/core.ts
+++ b/src/serving/context.ts
@@ -9,31 +9,31 @@
 import {createProblem, type Problem} from '../base/problem.js';
 import type {Random} from '../base/random.js';
 import type {Announcement} from '../generated/types.js';
-import type {RepeatBudget} from '../routing/budget.js';
-import type {Rule, RuleTable} from '../routing/catalogue.js';
+import type {ServiceRetryBudget} from '../routing/budget.js';
+import type {Route, RouteTable} from '../routing/routes.js';
 import type {HealthTracker} from '../routing/health.js';
 import type {LoadTracker} from '../routing/load.js';
 import type {Caller} from './caller.js';
 import type {
-	AnswerHead, Attempt, CallHead, Dialect,
-} from './dialect.js';
+	ResponseHead, Attempt, RequestHead, ProtocolAdapter,
+} from './protocol.js';
 import type {ServingMetrics} from './metrics.js';
-import type {PlacingClient} from './placing.js';
+import type {PlacementClient} from './placement.js';
 import type {
-	AnswerSink, Exchange, Failure, Upstream,
+	ResponseHandler, Exchange, AttemptFailure, Upstream,
 } from './upstream.js';
 
-export type ServingCore = {
+export type ServingContext = {
 	readonly dataCentre: string;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
-	readonly dialect: Dialect;
+	readonly protocol: ProtocolAdapter;
 	readonly upstream: Upstream;
 	readonly health: HealthTracker;
-	readonly loads: LoadTracker;
-	readonly budget: RepeatBudget;
-	readonly placing: PlacingClient;
+	readonly loadTracker: LoadTracker;
+	readonly retryBudget: ServiceRetryBudget;
+	readonly placement: PlacementClient;
 	readonly metrics: ServingMetrics;
 	/** Servers that take new work. */
 	readonly listServers: () => readonly Announcement[];
@@ -45,25 +45,25 @@
 /** One request on its way through this host. */
 export type Call = {
 	readonly caller: Caller;
-	readonly head: CallHead;
-	readonly rule: Rule;
-	readonly table: RuleTable;
+	readonly head: RequestHead;
+	readonly route: Route;
+	readonly routeTable: RouteTable;
 	readonly service: string;
 	readonly body: Buffer | null;
 	/** Monotonic times, milliseconds. */
 	readonly arrivedMs: number;
 	readonly deadlineMs: number;
 	/** Notes for the line that the log gets when the request has ended. */
-	readonly trail: Trail;
+	readonly logFields: RequestLogFields;
 };
 
 /** One sending to a server that was announced. */
-export type Sending = Omit<Attempt, 'server'> & {
+export type AttemptOptions = Omit<Attempt, 'server'> & {
 	readonly server: Announcement;
 };
 
 /** How a request fared, for the log. */
-export type Trail = {
+export type RequestLogFields = {
 	readonly servers: string[];
 	placedBy?: string;
 	reader?: string;
@@ -95,18 +95,18 @@
  *
  * @example
  * ```ts
- * const exchange = sendAttempt(core, call, {server, phase: 'whole', deadlineMs: 800}, sink);
+ * const exchange = sendAttempt(core, call, {server, phase: 'full', deadlineMs: 800}, sink);
  * ```
  */
-export function sendAttempt(core: ServingCore, call: Call, {server, ...attempt}: Sending, sink: AnswerSink): Exchange {
+export function sendAttempt(context: ServingContext, call: Call, {server, ...attempt}: AttemptOptions, sink: ResponseHandler): Exchange {
 	const {request} = call.caller;
-	const cap = call.table.findService(call.service)?.maxConnections ?? MOST_CONNECTIONS;
-	const share = Math.floor((cap * CONNECTION_SHARE) / core.countHosts());
-	return core.upstream.send({
+	const cap = call.routeTable.findService(call.service)?.maxConnections ?? MOST_CONNECTIONS;
+	const share = Math.floor((cap * CONNECTION_SHARE) / context.countHosts());
+	return context.upstream.send({
 		address: {address: server.address, port: server.port},
 		method: request.method ?? 'GET',
 		path: request.url ?? '/',
-		headers: core.dialect.writeAttempt(request, {...attempt, server: server.server}),
+		headers: context.protocol.buildRequestHeaders(request, {...attempt, server: server.server}),
 		body: call.body,
 		maxConnections: Math.max(LEAST_CONNECTIONS, Math.min(MOST_CONNECTIONS, share)),
 	}, sink);
@@ -120,7 +120,7 @@
  * findMismatch(call, head); // 'it answers request 9c41'
  * ```
  */
-export function findMismatch(call: Call, head: AnswerHead): string | undefined {
+export function findResponseMismatch(call: Call, head: ResponseHead): string | undefined {
 	if (head.echoedId !== undefined && head.echoedId !== call.head.id) {
 		return `it answers request ${head.echoedId}`;
 	}
@@ -141,7 +141,7 @@
  * call.caller.fail(noServer(call));
  * ```
  */
-export function noServer(call: Call): Problem {
+export function createNoServerProblem(call: Call): Problem {
 	return createProblem('noServer', `Service ${call.service}.`, NO_SERVER_RETRY_SECONDS);
 }
 
@@ -153,21 +153,21 @@
  * if (!takeRepeat(core, call.service)) { … }
  * ```
  */
-export function takeRepeat(core: ServingCore, service: string): boolean {
-	const isGranted = core.budget.take(service, core.clock.monotonicMs());
+export function tryAcquireRetry(context: ServingContext, service: string): boolean {
+	const isGranted = context.retryBudget.tryAcquire(service, context.clock.monotonicMs());
 	if (isGranted) {
-		core.metrics.repeats.inc({service});
+		context.metrics.retries.inc({service});
 	}
 
 	return isGranted;
 }
 
 /** Notes what a failed exchange says about its server. */
-export function noteFailure(core: ServingCore, server: Announcement, failure: Failure, error: Error): void {
-	core.metrics.failures.inc({failure});
+export function recordAttemptFailure(context: ServingContext, server: Announcement, failure: AttemptFailure, error: Error): void {
+	context.metrics.failures.inc({failure});
 	if (failure === 'unsent') {
-		core.health.noteFailure(server.server, core.clock.monotonicMs());
+		context.health.recordFailure(server.server, context.clock.monotonicMs());
 	}
 
-	core.logger.warn(`Server ${server.server} failed: ${error.message}`, {server: server.server, failure});
+	context.logger.warn(`Server ${server.server} failed: ${error.message}`, {server: server.server, failure});
 }
--- a/src/serving/engines.ts
+++ b/src/serving/engines.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import type {Announcement} from '../generated/types.js';
-import type {RuleTable} from '../routing/catalogue.js';
-import type {EngineFacts} from '../routing/enginestate.js';
+import type {RouteTable} from '../routing/routes.js';
+import type {EngineInfo} from '../routing/engine.js';
 
 /**
  * Lists the engines of all pools that are published.
@@ -15,8 +15,8 @@
  * placer.updateEngines(listEngineFacts(roster.listUsable(), table));
  * ```
  */
-export function listEngineFacts(servers: readonly Announcement[], table: RuleTable | undefined): EngineFacts[] {
-	const facts: EngineFacts[] = [];
+export function listEngines(servers: readonly Announcement[], table: RouteTable | undefined): EngineInfo[] {
+	const facts: EngineInfo[] = [];
 	for (const {server, incarnation, services, dataCentre, role} of servers) {
 		const service = services?.[0] ?? '';
 		const pool = table?.findService(service)?.engines;
--- a/src/serving/events.ts
+++ b/src/serving/events.ts
@@ -14,7 +14,7 @@
 	#lastId: string | undefined;
 
 	/** Identity of the last whole event that was handed out. */
-	get lastId(): string | undefined {
+	get lastEventId(): string | undefined {
 		return this.#lastId;
 	}
 
@@ -26,7 +26,7 @@
 	 * splitter.add(Buffer.from('id: 3\ndata: a\n\nid: 4')); // 'id: 3\ndata: a\n\n'
 	 * ```
 	 */
-	add(chunk: Buffer): Buffer {
+	push(chunk: Buffer): Buffer {
 		const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
 		const end = findLastBoundary(bytes);
 		this.#rest = bytes.subarray(end);
@@ -36,7 +36,7 @@
 	}
 
 	/** Takes out the part of an event that has come so far. */
-	takeRest(): Buffer {
+	takeIncomplete(): Buffer {
 		const rest = this.#rest;
 		this.#rest = Buffer.alloc(0);
 		return rest;
--- a/src/serving/gateway.ts
+++ b/src/serving/gateway.ts
@@ -8,18 +8,18 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import {createProblem, type Problem} from '../base/problem.js';
 import {
-	chooseService, REPEATS, type CallerLimits, type RuleTable,
-} from '../routing/catalogue.js';
+	chooseService, ROUTE_KINDS, type CallerLimits, type RouteTable,
+} from '../routing/routes.js';
 import type {Address} from '../wire/connection.js';
-import {Caller, type End} from './caller.js';
+import {Caller, type CallOutcome} from './caller.js';
 import {PlainCall} from './plaincall.js';
-import type {Call, ServingCore} from './core.js';
+import type {Call, ServingContext} from './context.js';
 import {StreamCall} from './streamcall.js';
 
 export type GatewayOptions = {
-	readonly core: ServingCore;
+	readonly context: ServingContext;
 	/** The routes in force; undefined before the first publication. */
-	readonly readTable: () => RuleTable | undefined;
+	readonly getRouteTable: () => RouteTable | undefined;
 };
 
 /** Limits until operators have published theirs. */
@@ -45,7 +45,7 @@
 
 	constructor(options: GatewayOptions) {
 		this.#options = options;
-		this.#startedMs = options.core.clock.monotonicMs();
+		this.#startedMs = options.context.clock.monotonicMs();
 		this.#server = http.createServer({maxHeaderSize: PARSER_HEADER_BYTES, noDelay: true}, (request, response) => {
 			void this.#serve(request, response);
 		});
@@ -79,7 +79,7 @@
 	}
 
 	/** From now on every answer ends its connection. */
-	beginStop(): void {
+	startDraining(): void {
 		this.#isStopping = true;
 	}
 
@@ -95,23 +95,23 @@
 	}
 
 	async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-		const {core} = this.#options;
-		const arrivedMs = core.clock.monotonicMs();
+		const {context} = this.#options;
+		const arrivedMs = context.clock.monotonicMs();
 		const caller = new Caller(request, response);
 		if (this.#isStopping) {
 			response.setHeader('connection', 'close');
 		}
 
 		this.#active++;
-		core.metrics.active.set(this.#active);
+		context.metrics.active.set(this.#active);
 		const served: {call?: Call} = {};
 		caller.onEnd(end => {
 			this.#active--;
-			core.metrics.active.set(this.#active);
+			context.metrics.active.set(this.#active);
 			this.#logEnd(caller, served.call, end, arrivedMs);
 		});
 		const found = await this.#createCall(caller, arrivedMs);
-		if (found === undefined || caller.isOver) {
+		if (found === undefined || caller.isEnded) {
 			return;
 		}
 
@@ -125,34 +125,34 @@
 	}
 
 	async #run(call: Call): Promise<void> {
-		const {core} = this.#options;
-		const {caller, rule, head, service, table} = call;
-		core.budget.noteRequest(service, core.clock.monotonicMs());
+		const {context} = this.#options;
+		const {caller, route: rule, head, service, routeTable: table} = call;
+		context.retryBudget.recordRequest(service, context.clock.monotonicMs());
 		const timer = setTimeout(() => {
 			caller.fail(createProblem('deadlineExceeded'));
-		}, Math.max(0, call.deadlineMs - core.clock.monotonicMs()));
+		}, Math.max(0, call.deadlineMs - context.clock.monotonicMs()));
 		caller.onEnd(() => {
 			clearTimeout(timer);
 		});
-		const isPlaced = rule.repeat === REPEATS.stream && head.prompt !== undefined && table.findService(service)?.engines !== undefined;
+		const isPlaced = rule.kind === ROUTE_KINDS.stream && head.prompt !== undefined && table.findService(service)?.engines !== undefined;
 		try {
-			await (isPlaced ? new StreamCall(core, call, head.prompt) : new PlainCall(core, call)).run();
+			await (isPlaced ? new StreamCall(context, call, head.prompt) : new PlainCall(context, call)).run();
 		} catch (error) {
-			core.logger.error('An unexpected fault.', {request: head.id, error: String(error), stack: (error as Error).stack});
+			context.logger.error('An unexpected fault.', {request: head.id, error: String(error), stack: (error as Error).stack});
 			caller.fail(createProblem('internal', `Request ${head.id}.`));
 		}
 	}
 
 	/** Reads what a request asks for; undefined if its caller left meanwhile. */
 	async #createCall(caller: Caller, arrivedMs: number): Promise<Either.Either<Problem, Call> | undefined> {
-		const {core, readTable} = this.#options;
+		const {context, getRouteTable} = this.#options;
 		const {request} = caller;
-		const limits = readTable()?.catalogue.limits ?? DEFAULT_LIMITS;
+		const limits = getRouteTable()?.config.limits ?? DEFAULT_LIMITS;
 		if (request.rawHeaders.reduce((sum, text) => sum + text.length + 2, 0) > limits.headerBytes) {
 			return Either.left(createProblem('headersInvalid', `${limits.headerBytes} bytes at most.`));
 		}
 
-		const head = core.dialect.readCall(request);
+		const head = context.protocol.parseRequest(request);
 		if (Either.isLeft(head)) {
 			return head;
 		}
@@ -167,48 +167,48 @@
 	}
 
 	#findRoute(caller: Caller, parts: Pick<Call, 'head' | 'body' | 'arrivedMs'>): Either.Either<Problem, Call> {
-		const table = this.#options.readTable();
-		if (!table) {
+		const routeTable = this.#options.getRouteTable();
+		if (!routeTable) {
 			return Either.left(createProblem('notPublished', undefined, this.#recoverySeconds()));
 		}
 
 		const {request} = caller;
-		const rule = table.match(request.headers.host ?? '', request.url ?? '/');
-		if (!rule) {
+		const route = routeTable.match(request.headers.host ?? '', request.url ?? '/');
+		if (!route) {
 			return Either.left(createProblem('notFound', `No route for ${request.headers.host ?? ''}${request.url ?? ''}.`));
 		}
 
-		const waitMs = Math.min(rule.timeoutMs, parts.head.waitMs ?? NO_DEADLINE_MS);
+		const waitMs = Math.min(route.timeoutMs, parts.head.timeoutMs ?? NO_DEADLINE_MS);
 		return Either.right({
 			...parts,
 			caller,
-			rule,
-			table,
-			service: chooseService(rule, this.#options.core.random),
+			route,
+			routeTable,
+			service: chooseService(route, this.#options.context.random),
 			deadlineMs: parts.arrivedMs + waitMs,
-			trail: {servers: []},
+			logFields: {servers: []},
 		});
 	}
 
 	/** When to come back to a host that knows no routes: it, or all of them, started a moment ago. */
 	#recoverySeconds(): number {
-		const upMs = this.#options.core.clock.monotonicMs() - this.#startedMs;
+		const upMs = this.#options.context.clock.monotonicMs() - this.#startedMs;
 		return Math.ceil(Math.max(LEAST_RETRY_MS, RECOVERY_MS - upMs) / 100) / 10;
 	}
 
-	#logEnd(caller: Caller, call: Call | undefined, end: End, arrivedMs: number): void {
-		const {logger, clock, metrics} = this.#options.core;
+	#logEnd(caller: Caller, call: Call | undefined, end: CallOutcome, arrivedMs: number): void {
+		const {logger, clock, metrics} = this.#options.context;
 		const tookMs = Math.round(clock.monotonicMs() - arrivedMs);
-		const route = call?.rule.name ?? 'none';
+		const route = call?.route.name ?? 'none';
 		metrics.requests.inc({route, outcome: end});
 		metrics.duration.observe({route}, tookMs);
-		if (call?.trail.firstMs !== undefined) {
-			metrics.firstByte.observe({route}, call.trail.firstMs);
+		if (call?.logFields.firstMs !== undefined) {
+			metrics.firstByte.observe({route}, call.logFields.firstMs);
 		}
 
 		const {problem, status} = caller;
 		logger.info(`Request ${end}.`, {
-			request: call?.head.id, route, service: call?.service, version: call?.table.catalogue.version, status, tookMs, ...call?.trail, code: problem?.code, reason: problem?.text,
+			request: call?.head.id, route, service: call?.service, version: call?.routeTable.config.version, status, tookMs, ...call?.logFields, code: problem?.code, reason: problem?.text,
 		});
 	}
 }
--- a/src/serving/metrics.ts
+++ b/src/serving/metrics.ts
@@ -10,7 +10,7 @@
 export type ServingMetrics = {
 	readonly requests: Counter<'route' | 'outcome'>;
 	readonly failures: Counter<'failure'>;
-	readonly repeats: Counter<'service'>;
+	readonly retries: Counter<'service'>;
 	readonly placements: Counter<'by'>;
 	readonly firstByte: Histogram<'route'>;
 	readonly duration: Histogram<'route'>;
@@ -38,7 +38,7 @@
 		failures: new Counter({
 			name: 'carawayhoist_attempt_failures_total', help: 'Sendings to backend servers that brought no whole answer.', labelNames: ['failure'], registers,
 		}),
-		repeats: new Counter({
+		retries: new Counter({
 			name: 'carawayhoist_repeats_total', help: 'Sendings beyond the first of a request, by service.', labelNames: ['service'], registers,
 		}),
 		placements: new Counter({
--- a/src/serving/placing.ts
+++ b/src/serving/placement.ts
@@ -7,52 +7,52 @@
 import type {Clock} from '../base/clock.js';
 import type {Message} from '../generated/types.js';
 import {
-	MILESTONES, type MilestoneName, type Placer, type PlacingDecision, type PlacingRequest,
-} from '../routing/placer.js';
+	MILESTONES, type MilestoneName, type Scheduler, type PlacementDecision, type PlacementRequest,
+} from '../routing/scheduler.js';
 
 /** The hosts that place, and the way to them. */
-export interface PlacingHosts {
+export interface SchedulerHosts {
 	/** Hosts that can be asked now. */
 	listLive(): string[];
 	/** Sends to one of them; false if it is out of reach. */
 	send(host: string, message: Message): boolean;
 }
 
-export type Placed = {
-	readonly decision: PlacingDecision;
+export type PlacementResult = {
+	readonly decision: PlacementDecision;
 	/** Host that decided; 'self' if it was this one. */
 	readonly by: string;
 };
 
 /** A placing host answers within two milliseconds; one that takes this long is busy, frozen or cut off. */
-export const PLACING_TIMEOUT_MS = 60;
+export const SCHEDULER_TIMEOUT_MS = 60;
 /** How long a host that did not answer is not asked again. */
 const DISTRUST_MS = 700;
 export const SELF = 'self';
 
 type Waiting = {
 	readonly host: string;
-	readonly settle: (decision: PlacingDecision | undefined) => void;
+	readonly settle: (decision: PlacementDecision | undefined) => void;
 };
 
 /** The asking side. */
-export class PlacingClient {
-	readonly #hosts: PlacingHosts;
-	readonly #local: Placer;
+export class PlacementClient {
+	readonly #hosts: SchedulerHosts;
+	readonly #local: Scheduler;
 	readonly #clock: Clock;
 	readonly #waiting = new Map<string, Waiting>();
 	readonly #owners = new Map<string, string>();
 	readonly #backups = new Map<string, string>();
 	readonly #distrustedUntilMs = new Map<string, number>();
 
-	constructor(hosts: PlacingHosts, local: Placer, clock: Clock) {
+	constructor(hosts: SchedulerHosts, local: Scheduler, clock: Clock) {
 		this.#hosts = hosts;
 		this.#local = local;
 		this.#clock = clock;
 	}
 
 	/** Asks where a request runs. */
-	async offer(request: PlacingRequest): Promise<Placed> {
+	async place(request: PlacementRequest): Promise<PlacementResult> {
 		const [host] = this.#rankHosts(request.service);
 		if (host !== undefined) {
 			const decision = await this.#ask(host, request.id, {
@@ -65,11 +65,11 @@
 		}
 
 		this.#owners.set(request.id, SELF);
-		return {decision: this.#local.offer(request, this.#clock.monotonicMs()), by: SELF};
+		return {decision: this.#local.place(request, this.#clock.monotonicMs()), by: SELF};
 	}
 
 	/** Tells that a prompt is read and asks where to go on. */
-	async noteRead(request: PlacingRequest, reader: string): Promise<Placed> {
+	async chooseRunner(request: PlacementRequest, reader: string): Promise<PlacementResult> {
 		const host = this.#owners.get(request.id);
 		if (host !== undefined && host !== SELF) {
 			const decision = await this.#ask(host, request.id, {
@@ -82,11 +82,11 @@
 			this.#owners.set(request.id, SELF);
 		}
 
-		return {decision: this.#local.goOn(request, reader, this.#clock.monotonicMs()), by: SELF};
+		return {decision: this.#local.chooseRunner(request, reader, this.#clock.monotonicMs()), by: SELF};
 	}
 
 	/** Tells the host that would place next where a request runs, so that it knows what engines hold. */
-	shadow({id, service, parts, promptTokens, outputTokens, patienceMs}: PlacingRequest, reader: string | undefined, runner: string): void {
+	notifyBackup({id, service, parts, promptTokens, outputTokens, patienceMs}: PlacementRequest, reader: string | undefined, runner: string): void {
 		const backup = this.#rankHosts(service).find(host => host !== this.#owners.get(id));
 		if (backup === undefined) {
 			return;
@@ -99,7 +99,7 @@
 	}
 
 	/** Tells how far a request is. */
-	note(id: string, milestone: Exclude<MilestoneName, 'read'>, server: string | undefined): void {
+	reportMilestone(id: string, milestone: Exclude<MilestoneName, 'read'>, server: string | undefined): void {
 		const host = this.#owners.get(id);
 		const backup = this.#backups.get(id);
 		if (milestone !== MILESTONES.first) {
@@ -111,7 +111,7 @@
 		}
 
 		if (host === SELF || host === undefined) {
-			this.#local.note(id, milestone, server, this.#clock.monotonicMs());
+			this.#local.recordMilestone(id, milestone, server, this.#clock.monotonicMs());
 			return;
 		}
 
@@ -132,13 +132,13 @@
 		}
 	}
 
-	async #ask(host: string, id: string, message: Message): Promise<PlacingDecision | undefined> {
+	async #ask(host: string, id: string, message: Message): Promise<PlacementDecision | undefined> {
 		return new Promise(resolve => {
 			const timer = setTimeout(() => {
 				this.#distrustedUntilMs.set(host, this.#clock.monotonicMs() + DISTRUST_MS);
 				settle(undefined);
-			}, PLACING_TIMEOUT_MS);
-			const settle = (decision: PlacingDecision | undefined) => {
+			}, SCHEDULER_TIMEOUT_MS);
+			const settle = (decision: PlacementDecision | undefined) => {
 				clearTimeout(timer);
 				this.#waiting.delete(id);
 				resolve(decision);
--- a/src/serving/plaincall.ts
+++ b/src/serving/plaincall.ts
@@ -6,15 +6,15 @@
 import {Buffer} from 'node:buffer';
 import {createProblem} from '../base/problem.js';
 import type {Announcement} from '../generated/types.js';
-import {REPEATS} from '../routing/catalogue.js';
+import {ROUTE_KINDS} from '../routing/routes.js';
 import {
-	findMismatch, noServer, noteFailure, sendAttempt, takeRepeat, type Call, type ServingCore,
-} from './core.js';
-import type {AnswerHead} from './dialect.js';
+	findResponseMismatch, createNoServerProblem, recordAttemptFailure, sendAttempt, tryAcquireRetry, type Call, type ServingContext,
+} from './context.js';
+import type {ResponseHead} from './protocol.js';
 import type {Exchange} from './upstream.js';
 
 type Outcome
-	= | {readonly type: 'answer'; readonly head: AnswerHead; readonly body: Buffer}
+	= | {readonly type: 'answer'; readonly head: ResponseHead; readonly body: Buffer}
 		/** The server says that it did not run the request. */
 		| {readonly type: 'notRun'; readonly isOtherServer: boolean}
 		/** No byte left for the server. */
@@ -33,7 +33,7 @@
 
 /** Runs one call to its end. */
 export class PlainCall {
-	readonly #core: ServingCore;
+	readonly #core: ServingContext;
 	readonly #call: Call;
 	readonly #tried = new Set<string>();
 	#sent = 0;
@@ -41,7 +41,7 @@
 	#mayHaveRun = false;
 	#exchange: Exchange | undefined;
 
-	constructor(core: ServingCore, call: Call) {
+	constructor(core: ServingContext, call: Call) {
 		this.#core = core;
 		this.#call = call;
 		call.caller.onEnd(() => {
@@ -52,7 +52,7 @@
 	async run(): Promise<void> {
 		const {caller} = this.#call;
 		let last: Outcome | undefined;
-		while (!caller.isOver) {
+		while (!caller.isEnded) {
 			const server = this.#choose();
 			if (!server) {
 				this.#finish(last);
@@ -60,7 +60,7 @@
 			}
 
 			last = await this.#attempt(server);
-			if (caller.isOver || this.#settle(last)) {
+			if (caller.isEnded || this.#settle(last)) {
 				return;
 			}
 		}
@@ -77,19 +77,19 @@
 		return true;
 	}
 
-	#deliver(head: AnswerHead, body: Buffer): void {
-		this.#call.caller.answer(head.status, this.#core.dialect.writeAnswer(head.headers), body, head.framing);
+	#deliver(head: ResponseHead, body: Buffer): void {
+		this.#call.caller.respond(head.status, this.#core.protocol.buildResponseHeaders(head.headers), body, head.framing);
 	}
 
 	#mayTryAgain(outcome: Outcome): boolean {
-		const {rule} = this.#call;
+		const {route: rule} = this.#call;
 		if (outcome.type === 'unsent' || (outcome.type === 'notRun' && outcome.isOtherServer)) {
 			this.#unsent++;
 			return this.#unsent < MAX_UNSENT && !this.#isLate();
 		}
 
-		const isSafe = outcome.type === 'notRun' ? !this.#mayHaveRun : rule.repeat === REPEATS.repeatable;
-		return isSafe && this.#sent < rule.maxAttempts && !this.#isLate() && this.#hasOther() && takeRepeat(this.#core, this.#call.service);
+		const isSafe = outcome.type === 'notRun' ? !this.#mayHaveRun : rule.kind === ROUTE_KINDS.repeatable;
+		return isSafe && this.#sent < rule.maxAttempts && !this.#isLate() && this.#hasOther() && tryAcquireRetry(this.#core, this.#call.service);
 	}
 
 	#isLate(): boolean {
@@ -113,12 +113,12 @@
 			return;
 		}
 
-		caller.fail(outcome?.type === 'notRun' ? createProblem('notStarted', undefined, FULL_RETRY_SECONDS) : noServer(this.#call));
+		caller.fail(outcome?.type === 'notRun' ? createProblem('notStarted', undefined, FULL_RETRY_SECONDS) : createNoServerProblem(this.#call));
 	}
 
 	/** The server with the least work for its size; the nearer one of two alike. */
 	#choose(): Announcement | undefined {
-		const {clock, health, listServers, loads, random, dataCentre} = this.#core;
+		const {clock, health, listServers, loadTracker: loads, random, dataCentre} = this.#core;
 		const nowMs = clock.monotonicMs();
 		const all = listServers().filter(server => server.services?.includes(this.#call.service) && !this.#tried.has(server.server));
 		const trusted = all.filter(server => !health.isSuspected(server.server, nowMs));
@@ -137,14 +137,14 @@
 	}
 
 	async #attempt(server: Announcement): Promise<Outcome> {
-		const {loads, clock} = this.#core;
-		const {head, trail} = this.#call;
+		const {loadTracker: loads, clock} = this.#core;
+		const {head, logFields: trail} = this.#call;
 		const flight = `${head.id} ${this.#tried.size}`;
 		this.#tried.add(server.server);
 		trail.servers.push(server.server);
-		loads.begin(server.server, flight, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
+		loads.startRequest(server.server, flight, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
 		const outcome = await this.#exchangeWith(server);
-		loads.end(server.server, flight);
+		loads.endRequest(server.server, flight);
 		if (outcome.type !== 'unsent') {
 			this.#sent++;
 		}
@@ -161,7 +161,7 @@
 			};
 
 			const timer = this.#createSilenceTimer(() => {
-				this.#core.health.noteFailure(server.server, this.#core.clock.monotonicMs());
+				this.#core.health.recordFailure(server.server, this.#core.clock.monotonicMs());
 				this.#exchange?.cancel();
 				settle({type: 'silent'});
 			});
@@ -175,13 +175,13 @@
 	#send(server: Announcement, settle: (outcome: Outcome) => void): Exchange {
 		const core = this.#core;
 		const chunks: Buffer[] = [];
-		let head: AnswerHead | undefined;
+		let head: ResponseHead | undefined;
 		const deadlineMs = this.#call.deadlineMs - core.clock.monotonicMs();
-		return sendAttempt(core, this.#call, {server, phase: 'whole', deadlineMs}, {
+		return sendAttempt(core, this.#call, {server, phase: 'full', deadlineMs}, {
 			onHead: (status, headers) => {
-				head = core.dialect.readAnswer(status, headers);
+				head = core.protocol.parseResponse(status, headers);
 				this.#noteLoad(server, head);
-				const mismatch = findMismatch(this.#call, head);
+				const mismatch = findResponseMismatch(this.#call, head);
 				if (mismatch !== undefined) {
 					core.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
 					this.#exchange?.cancel();
@@ -192,30 +192,30 @@
 				chunks.push(chunk);
 			},
 			onEnd() {
-				core.health.noteSuccess(server.server);
-				settle(head!.isNotRun || head!.isOtherServer
-					? {type: 'notRun', isOtherServer: head!.isOtherServer}
+				core.health.recordSuccess(server.server);
+				settle(head!.isNotExecuted || head!.isWrongServer
+					? {type: 'notRun', isOtherServer: head!.isWrongServer}
 					: {type: 'answer', head: head!, body: Buffer.concat(chunks)});
 			},
 			onFailure(failure, error) {
-				noteFailure(core, server, failure, error);
+				recordAttemptFailure(core, server, failure, error);
 				settle({type: failure});
 			},
 		});
 	}
 
-	#noteLoad(server: Announcement, {load}: AnswerHead): void {
+	#noteLoad(server: Announcement, {load}: ResponseHead): void {
 		if (load) {
 			const {running, waiting} = load;
-			this.#core.loads.report(server.server, {
+			this.#core.loadTracker.recordReport(server.server, {
 				running, waiting, prefillTokens: 0, decodeTokens: 0,
 			}, this.#core.clock.monotonicMs());
 		}
 	}
 
 	#createSilenceTimer(onSilence: () => void): NodeJS.Timeout | undefined {
-		const {rule} = this.#call;
-		const mayGoElsewhere = rule.repeat === REPEATS.repeatable && this.#sent + 1 < rule.maxAttempts;
+		const {route: rule} = this.#call;
+		const mayGoElsewhere = rule.kind === ROUTE_KINDS.repeatable && this.#sent + 1 < rule.maxAttempts;
 		return mayGoElsewhere ? setTimeout(onSilence, rule.objectiveMs * SILENCE_FACTOR) : undefined;
 	}
 }
@@ -223,6 +223,6 @@
 /** Weight of standing in the same data centre against load; also spreads servers that look alike. */
 const NEARNESS = 0.02;
 
-function isServerFault({status}: AnswerHead): boolean {
+function isServerFault({status}: ResponseHead): boolean {
 	return status >= 500;
 }
--- a/src/serving/streamcall.ts
+++ b/src/serving/streamcall.ts
@@ -6,18 +6,18 @@
 import {Buffer} from 'node:buffer';
 import {createProblem, type Problem} from '../base/problem.js';
 import type {Announcement} from '../generated/types.js';
-import {LATE_PRIORITY, type PlacingRequest} from '../routing/placer.js';
+import {LATE_PRIORITY, type PlacementRequest} from '../routing/scheduler.js';
 import {
-	findMismatch, noteFailure, sendAttempt, takeRepeat, type Call, type ServingCore,
-} from './core.js';
+	findResponseMismatch, recordAttemptFailure, sendAttempt, tryAcquireRetry, type Call, type ServingContext,
+} from './context.js';
 import type {
-	AnswerHead, Prompt, Reading,
-} from './dialect.js';
+	ResponseHead, Prompt, KvCacheHandle,
+} from './protocol.js';
 import {EventSplitter} from './events.js';
 import type {Exchange} from './upstream.js';
 
 type ReadOutcome
-	= | {readonly type: 'read'; readonly reading: Reading}
+	= | {readonly type: 'read'; readonly reading: KvCacheHandle}
 		| {readonly type: 'failed'};
 
 type RunOutcome
@@ -42,13 +42,13 @@
 
 /** Runs one call to its end. */
 export class StreamCall {
-	readonly #core: ServingCore;
+	readonly #core: ServingContext;
 	readonly #call: Call;
 	readonly #prompt: Prompt;
 	readonly #excluded = new Set<string>();
 	readonly #splitter: EventSplitter | undefined;
 	#exchange: Exchange | undefined;
-	#reading: Reading | undefined;
+	#reading: KvCacheHandle | undefined;
 	#placings = 0;
 	#reads = 0;
 	#runs = 0;
@@ -56,11 +56,11 @@
 	#mayHaveRun = false;
 	#partSource: Announcement | undefined;
 
-	constructor(core: ServingCore, call: Call, prompt: Prompt) {
+	constructor(core: ServingContext, call: Call, prompt: Prompt) {
 		this.#core = core;
 		this.#call = call;
 		this.#prompt = prompt;
-		this.#splitter = call.rule.isResumable ? new EventSplitter() : undefined;
+		this.#splitter = call.route.isResumable ? new EventSplitter() : undefined;
 		call.caller.onEnd(() => {
 			this.#exchange?.cancel();
 			this.#release();
@@ -69,24 +69,24 @@
 
 	async run(): Promise<void> {
 		const {caller} = this.#call;
-		while (!caller.isOver) {
+		while (!caller.isEnded) {
 			const runner = await this.#place();
-			if (!runner || caller.isOver) {
+			if (!runner || caller.isEnded) {
 				break;
 			}
 
 			const outcome = await this.#runAt(runner);
 			if (outcome.type === 'done') {
-				this.#core.placing.note(this.#call.head.id, outcome.isServerFault ? 'failed' : 'done', outcome.isServerFault ? runner.server : undefined);
+				this.#core.placement.reportMilestone(this.#call.head.id, outcome.isServerFault ? 'failed' : 'done', outcome.isServerFault ? runner.server : undefined);
 				return;
 			}
 
-			if (caller.isOver) {
+			if (caller.isEnded) {
 				break;
 			}
 
 			this.#mayHaveRun ||= outcome.type === 'broken';
-			this.#core.placing.note(this.#call.head.id, outcome.type === 'notRun' ? 'refused' : 'failed', runner.server);
+			this.#core.placement.reportMilestone(this.#call.head.id, outcome.type === 'notRun' ? 'refused' : 'failed', runner.server);
 			this.#excluded.add(runner.server);
 			const problem = this.#judge(outcome);
 			if (problem) {
@@ -95,19 +95,19 @@
 			}
 		}
 
-		this.#core.placing.note(this.#call.head.id, 'failed', undefined);
+		this.#core.placement.reportMilestone(this.#call.head.id, 'failed', undefined);
 	}
 
 	/** Finds the engine that runs the request, with its prompt read ahead where that is quicker. */
 	async #place(): Promise<Announcement | undefined> {
-		const {caller, trail} = this.#call;
-		while (!caller.isOver) {
+		const {caller, logFields: trail} = this.#call;
+		while (!caller.isEnded) {
 			if (this.#placings++ >= MAX_PLACINGS) {
 				caller.fail(this.#createFailure());
 				return undefined;
 			}
 
-			let {decision, by} = await this.#core.placing.offer(this.#createRequest());
+			let {decision, by} = await this.#core.placement.place(this.#createRequest());
 			trail.placedBy = by;
 			trail.placedMs = this.#elapsedMs();
 			this.#partSource = decision.type === 'assignment' && decision.source !== undefined ? this.#core.findServer(decision.source) : undefined;
@@ -121,20 +121,20 @@
 			trail.promptTokens = this.#prompt.promptTokens;
 			if (decision.type === 'assignment' && decision.reader !== undefined) {
 				const reader = this.#core.findServer(decision.reader);
-				const outcome = reader && !caller.isOver ? await this.#readAt(reader, decision.expectedMs ?? 0) : undefined;
-				if (caller.isOver) {
+				const outcome = reader && !caller.isEnded ? await this.#readAt(reader, decision.expectedMs ?? 0) : undefined;
+				if (caller.isEnded) {
 					return undefined;
 				}
 
 				if (outcome?.type !== 'read') {
-					this.#core.placing.note(this.#call.head.id, 'failed', decision.reader);
+					this.#core.placement.reportMilestone(this.#call.head.id, 'failed', decision.reader);
 					this.#excluded.add(decision.reader);
 					continue;
 				}
 
 				this.#reading = outcome.reading;
 				trail.readMs = this.#elapsedMs();
-				({decision, by} = await this.#core.placing.noteRead(this.#createRequest(), decision.reader));
+				({decision, by} = await this.#core.placement.chooseRunner(this.#createRequest(), decision.reader));
 			}
 
 			this.#core.metrics.placements.inc({by});
@@ -147,7 +147,7 @@
 
 			const runner = decision.runner === undefined ? undefined : this.#core.findServer(decision.runner);
 			if (runner) {
-				this.#core.placing.shadow(this.#createRequest(), trail.reader, runner.server);
+				this.#core.placement.notifyBackup(this.#createRequest(), trail.reader, runner.server);
 				return runner;
 			}
 		}
@@ -155,8 +155,8 @@
 		return undefined;
 	}
 
-	#createRequest(): PlacingRequest {
-		const {head, rule, service, arrivedMs, deadlineMs} = this.#call;
+	#createRequest(): PlacementRequest {
+		const {head, route: rule, service, arrivedMs, deadlineMs} = this.#call;
 		const nowMs = this.#core.clock.monotonicMs();
 		const patienceMs = Math.max(LEAST_PATIENCE_MS, rule.objectiveMs * PATIENCE_FACTOR);
 		return {
@@ -176,15 +176,15 @@
 	/** Has the prompt read ahead of the run. */
 	async #readAt(server: Announcement, expectedMs: number): Promise<ReadOutcome> {
 		const core = this.#core;
-		if (this.#reads > 0 && !takeRepeat(this.#core, this.#call.service)) {
+		if (this.#reads > 0 && !tryAcquireRetry(this.#core, this.#call.service)) {
 			return {type: 'failed'};
 		}
 
 		this.#reads++;
-		this.#call.trail.reader = server.server;
+		this.#call.logFields.reader = server.server;
 		return new Promise(resolve => {
 			const chunks: Buffer[] = [];
-			let head: AnswerHead | undefined;
+			let head: ResponseHead | undefined;
 			// Reading may be repeated, so a reader that is long overdue is given up.
 			const timer = setTimeout(() => {
 				core.logger.warn(`Server ${server.server} is overdue with a prompt.`, {request: this.#call.head.id, server: server.server, expectedMs});
@@ -196,11 +196,11 @@
 				resolve({type: 'failed'});
 			});
 			this.#exchange = sendAttempt(core, this.#call, {
-				server, phase: 'read', deadlineMs: this.#leftMs(), priority: this.#priority(), partSource: this.#partSource,
+				server, phase: 'prefill', deadlineMs: this.#leftMs(), priority: this.#priority(), kvSource: this.#partSource,
 			}, {
 				onHead: (status, headers) => {
-					head = core.dialect.readAnswer(status, headers);
-					const mismatch = findMismatch(this.#call, head);
+					head = core.protocol.parseResponse(status, headers);
+					const mismatch = findResponseMismatch(this.#call, head);
 					if (mismatch !== undefined) {
 						core.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
 						this.#exchange?.cancel();
@@ -212,19 +212,19 @@
 				},
 				onEnd() {
 					clearTimeout(timer);
-					const handle = head?.status === 200 ? core.dialect.readHandle(Buffer.concat(chunks)) : undefined;
+					const handle = head?.status === 200 ? core.protocol.parseKvHandle(Buffer.concat(chunks)) : undefined;
 					if (handle === undefined) {
 						core.logger.warn(`Server ${server.server} did not read a prompt.`, {server: server.server, status: head?.status});
 						resolve({type: 'failed'});
 						return;
 					}
 
-					core.health.noteSuccess(server.server);
+					core.health.recordSuccess(server.server);
 					resolve({type: 'read', reading: {address: {address: server.address, port: server.port}, handle}});
 				},
 				onFailure(failure, error) {
 					clearTimeout(timer);
-					noteFailure(core, server, failure, error);
+					recordAttemptFailure(core, server, failure, error);
 					resolve({type: 'failed'});
 				},
 			});
@@ -233,8 +233,8 @@
 
 	async #runAt(server: Announcement): Promise<RunOutcome> {
 		const core = this.#core;
-		const {caller, trail} = this.#call;
-		if (this.#runs > 0 && !takeRepeat(this.#core, this.#call.service)) {
+		const {caller, logFields: trail} = this.#call;
+		if (this.#runs > 0 && !tryAcquireRetry(this.#core, this.#call.service)) {
 			return {type: 'denied'};
 		}
 
@@ -242,25 +242,25 @@
 		trail.servers.push(server.server);
 		const reading = this.#reading;
 		this.#reading = undefined;
-		this.#splitter?.takeRest();
-		const lastEventId = this.#splitter?.lastId ?? this.#call.head.lastEventId;
+		this.#splitter?.takeIncomplete();
+		const lastEventId = this.#splitter?.lastEventId ?? this.#call.head.lastEventId;
 		return new Promise(resolve => {
-			let head: AnswerHead | undefined;
+			let head: ResponseHead | undefined;
 			caller.onEnd(() => {
 				resolve({type: 'broken'});
 			});
 			this.#exchange = sendAttempt(core, this.#call, {
 				server,
-				phase: reading ? 'run' : 'whole',
+				phase: reading ? 'decode' : 'full',
 				deadlineMs: this.#leftMs(),
-				reading,
+				kvCache: reading,
 				lastEventId,
 				priority: this.#priority(),
-				partSource: reading ? undefined : this.#partSource,
+				kvSource: reading ? undefined : this.#partSource,
 			}, {
 				onHead: (status, headers) => {
-					head = core.dialect.readAnswer(status, headers);
-					const mismatch = findMismatch(this.#call, head);
+					head = core.protocol.parseResponse(status, headers);
+					const mismatch = findResponseMismatch(this.#call, head);
 					if (mismatch !== undefined) {
 						core.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
 						this.#exchange?.cancel();
@@ -268,7 +268,7 @@
 						return;
 					}
 
-					if (head.isNotRun || head.isOtherServer) {
+					if (head.isNotExecuted || head.isWrongServer) {
 						return;
 					}
 
@@ -278,35 +278,35 @@
 						return;
 					}
 
-					if (!caller.hasBegun) {
-						caller.begin(status, core.dialect.writeAnswer(headers), head.framing);
+					if (!caller.hasStartedResponse) {
+						caller.startResponse(status, core.protocol.buildResponseHeaders(headers), head.framing);
 					} else if (status !== HTTP_OK) {
 						this.#exchange?.cancel();
 						resolve({type: 'broken'});
 					}
 				},
 				onData: chunk => {
-					if (head && !head.isNotRun && !head.isOtherServer) {
+					if (head && !head.isNotExecuted && !head.isWrongServer) {
 						this.#forward(chunk, head.status === HTTP_OK);
 					}
 				},
 				onEnd: () => {
-					if (!head || head.isNotRun || head.isOtherServer) {
+					if (!head || head.isNotExecuted || head.isWrongServer) {
 						resolve({type: 'notRun'});
 						return;
 					}
 
-					core.health.noteSuccess(server.server);
-					const rest = this.#splitter?.takeRest();
+					core.health.recordSuccess(server.server);
+					const rest = this.#splitter?.takeIncomplete();
 					if (rest && rest.length > 0) {
 						caller.write(rest, () => undefined);
 					}
 
-					caller.finish();
+					caller.endResponse();
 					resolve({type: 'done', isServerFault: head.status >= SERVER_FAULT});
 				},
 				onFailure(failure, error) {
-					noteFailure(core, server, failure, error);
+					recordAttemptFailure(core, server, failure, error);
 					resolve({type: failure});
 				},
 			});
@@ -314,14 +314,14 @@
 	}
 
 	#forward(chunk: Buffer, isStream: boolean): void {
-		const {caller, head, trail} = this.#call;
+		const {caller, head, logFields: trail} = this.#call;
 		if (!this.#hasFirst && isStream) {
 			this.#hasFirst = true;
 			trail.firstMs = this.#elapsedMs();
-			this.#core.placing.note(head.id, 'first', undefined);
+			this.#core.placement.reportMilestone(head.id, 'first', undefined);
 		}
 
-		const whole = this.#splitter && isStream ? this.#splitter.add(chunk) : chunk;
+		const whole = this.#splitter && isStream ? this.#splitter.push(chunk) : chunk;
 		const exchange = this.#exchange;
 		const isTaken = whole.length === 0 || caller.write(whole, () => {
 			exchange?.resume();
@@ -333,7 +333,7 @@
 
 	/** The problem to end with after a run that failed; undefined to try again. */
 	#judge(outcome: RunOutcome): Problem | undefined {
-		const {rule} = this.#call;
+		const {route: rule} = this.#call;
 		switch (outcome.type) {
 			case 'unsent': {
 				this.#runs--;
@@ -356,7 +356,7 @@
 
 	/** Whether a run that failed may go on at another engine. */
 	#mayRepeat(): boolean {
-		const {rule} = this.#call;
+		const {route: rule} = this.#call;
 		return rule.isResumable && this.#runs < rule.maxAttempts;
 	}
 
@@ -375,7 +375,7 @@
 
 		const ignore = () => undefined;
 		this.#core.upstream.send({
-			address: reading.address, ...this.#core.dialect.writeRelease(reading), headers: [], body: null, maxConnections: 1,
+			address: reading.address, ...this.#core.protocol.buildReleaseRequest(reading), headers: [], body: null, maxConnections: 1,
 		}, {
 			onHead: ignore, onData: ignore, onEnd: ignore, onFailure: (failure, error) => {
 				this.#core.logger.warn(`Could not free a read prompt: ${error.message}`, {failure});
@@ -385,7 +385,7 @@
 
 	/** What is late already goes behind everything else. */
 	#priority(): number {
-		return this.#call.trail.isLate === true ? LATE_PRIORITY : this.#call.rule.priority;
+		return this.#call.logFields.isLate === true ? LATE_PRIORITY : this.#call.route.priority;
 	}
 
 	#leftMs(): number {
--- a/src/serving/upstream.ts
+++ b/src/serving/upstream.ts
@@ -20,20 +20,20 @@
 	readonly maxConnections: number;
 };
 
-export const FAILURES = {
+export const ATTEMPT_FAILURES = {
 	/** No byte of the request left. */
 	unsent: 'unsent',
 	/** The request may have reached the server; no whole answer came. */
 	broken: 'broken',
 } as const;
-export type Failure = keyof typeof FAILURES;
+export type AttemptFailure = keyof typeof ATTEMPT_FAILURES;
 
 /** What becomes of one exchange; exactly one of `onEnd` and `onFailure` is called, unless it is cancelled. */
-export interface AnswerSink {
+export interface ResponseHandler {
 	onHead(status: number, headers: IncomingHttpHeaders): void;
 	onData(chunk: Buffer): void;
 	onEnd(): void;
-	onFailure(failure: Failure, error: Error): void;
+	onFailure(failure: AttemptFailure, error: Error): void;
 }
 
 export type Exchange = {
@@ -60,7 +60,7 @@
 	readonly #pools = new Map<string, Pool>();
 
 	/** Sends a request and reports what comes back. */
-	send(request: UpstreamRequest, sink: AnswerSink): Exchange {
+	send(request: UpstreamRequest, sink: ResponseHandler): Exchange {
 		const exchange = new UpstreamExchange(sink);
 		const options: LineOptions = {
 			method: request.method,
@@ -77,7 +77,7 @@
 	}
 
 	/** Closes the connections to a server that is gone. */
-	forget({address, port}: Address): void {
+	closeServer({address, port}: Address): void {
 		const key = `${address}:${port}`;
 		const pool = this.#pools.get(key);
 		this.#pools.delete(key);
@@ -171,12 +171,12 @@
 class UpstreamExchange implements Exchange {
 	line: Line | undefined;
 	readonly handler: Dispatcher.DispatchHandler;
-	readonly #sink: AnswerSink;
+	readonly #sink: ResponseHandler;
 	#controller: Dispatcher.DispatchController | undefined;
 	#timer: NodeJS.Timeout | undefined;
 	#isOver = false;
 
-	constructor(sink: AnswerSink) {
+	constructor(sink: ResponseHandler) {
 		this.#sink = sink;
 		this.handler = {
 			onRequestStart: controller => {
@@ -243,7 +243,7 @@
 	}
 
 	#fail(error: Error): void {
-		const failure = this.isSent ? FAILURES.broken : FAILURES.unsent;
+		const failure = this.isSent ? ATTEMPT_FAILURES.broken : ATTEMPT_FAILURES.unsent;
 		if (this.#finish()) {
 			this.#sink.onFailure(failure, error);
 		}
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -1,28 +1,28 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createRandom} from '../src/base/random.js';
-import {RepeatBudget} from '../src/routing/budget.js';
+import {ServiceRetryBudget} from '../src/routing/budget.js';
 
 const LIMITS = {ratio: 0.2, allowance: 113, windowMs: 10_000};
 const HOSTS = 13;
 
 test('all hosts together stay within the budget in every sliding window', () => {
 	const random = createRandom(5);
-	const hosts = Array.from({length: HOSTS}, () => new RepeatBudget(LIMITS));
+	const hosts = Array.from({length: HOSTS}, () => new ServiceRetryBudget(LIMITS));
 	const requests: number[] = [];
 	const repeats: number[] = [];
 	for (const host of hosts) {
-		host.shareAmong(HOSTS);
+		host.setHostCount(HOSTS);
 	}
 
 	for (let nowMs = 0; nowMs < 40_000; nowMs += 10) {
 		const host = hosts[Math.floor(random() * HOSTS)]!;
 		// Load that comes and goes, every request wants two repeats.
 		if (random() < (nowMs % 15_000 < 5000 ? 0.8 : 0.1)) {
-			host.noteRequest('svc', nowMs);
+			host.recordRequest('svc', nowMs);
 			requests.push(nowMs);
 			for (let attempt = 0; attempt < 2; attempt++) {
-				if (host.take('svc', nowMs)) {
+				if (host.tryAcquire('svc', nowMs)) {
 					repeats.push(nowMs);
 				}
 			}
@@ -37,17 +37,17 @@
 });
 
 test('services have budgets of their own', () => {
-	const budget = new RepeatBudget({ratio: 0, allowance: 2, windowMs: 1000});
-	assert.equal(budget.take('a', 0), true);
-	assert.equal(budget.take('a', 1), false);
-	assert.equal(budget.take('b', 1), true);
-	assert.equal(budget.take('a', 1001), true);
+	const budget = new ServiceRetryBudget({ratio: 0, allowance: 2, windowMs: 1000});
+	assert.equal(budget.tryAcquire('a', 0), true);
+	assert.equal(budget.tryAcquire('a', 1), false);
+	assert.equal(budget.tryAcquire('b', 1), true);
+	assert.equal(budget.tryAcquire('a', 1001), true);
 });
 
 test('new limits hold at once and for what was counted before', () => {
-	const budget = new RepeatBudget({ratio: 0, allowance: 8, windowMs: 1000});
-	assert.equal(budget.take('a', 0), true);
-	assert.equal(budget.take('a', 1), true);
+	const budget = new ServiceRetryBudget({ratio: 0, allowance: 8, windowMs: 1000});
+	assert.equal(budget.tryAcquire('a', 0), true);
+	assert.equal(budget.tryAcquire('a', 1), true);
 	budget.updateLimits({ratio: 0, allowance: 4, windowMs: 1000});
-	assert.equal(budget.take('a', 2), false);
+	assert.equal(budget.tryAcquire('a', 2), false);
 });
--- a/test/catalogue.test.ts
+++ b/test/catalogue.test.ts
@@ -3,7 +3,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import {decodeCatalogue} from '../platform/catalogue.js';
 import {createRandom} from '../src/base/random.js';
-import {chooseService, RuleTable} from '../src/routing/catalogue.js';
+import {chooseService, RouteTable} from '../src/routing/routes.js';
 
 const SERVICE = {name: 'svc', 'health-path': '/health', 'max-conns': 200};
 const ROUTE = {
@@ -55,8 +55,8 @@
 	});
 }
 
-function createTable(routes: unknown[], services: unknown[] = [SERVICE]): RuleTable {
+function createTable(routes: unknown[], services: unknown[] = [SERVICE]): RouteTable {
 	const catalogue = decodeCatalogue(JSON.stringify({version: 1, routes, services}));
 	assert.ok(Either.isRight(catalogue));
-	return new RuleTable(catalogue.right);
+	return new RouteTable(catalogue.right);
 }
--- a/test/events.test.ts
+++ b/test/events.test.ts
@@ -10,12 +10,12 @@
 		const splitter = new EventSplitter();
 		let out = '';
 		for (let start = 0; start < TEXT.length; start += size) {
-			out += splitter.add(Buffer.from(TEXT.slice(start, start + size))).toString();
+			out += splitter.push(Buffer.from(TEXT.slice(start, start + size))).toString();
 		}
 
 		assert.equal(out, TEXT.slice(0, TEXT.indexOf('id: 4')), `cuts of ${size}`);
-		assert.equal(splitter.lastId, '3');
-		assert.equal(splitter.takeRest().toString(), 'id: 4\nda');
-		assert.equal(splitter.takeRest().length, 0);
+		assert.equal(splitter.lastEventId, '3');
+		assert.equal(splitter.takeIncomplete().toString(), 'id: 4\nda');
+		assert.equal(splitter.takeIncomplete().length, 0);
 	}
 });
--- a/test/placing.test.ts
+++ b/test/placement.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {Message} from '../src/generated/types.js';
-import {Placer, type PlacingRequest} from '../src/routing/placer.js';
-import {PlacingClient, SELF} from '../src/serving/placing.js';
+import {Scheduler, type PlacementRequest} from '../src/routing/scheduler.js';
+import {PlacementClient, SELF} from '../src/serving/placement.js';
 
-const REQUEST: PlacingRequest = {
+const REQUEST: PlacementRequest = {
 	id: 'r1', service: 'llm', dataCentre: 'x', parts: [], promptTokens: 1000, outputTokens: 10, priority: 0, objectiveMs: 600, patienceMs: 2400, excluded: [],
 };
 
@@ -13,10 +13,10 @@
 	const told = new Set<string>();
 	for (const live of [['c1', 'c2', 'c3'], ['c3', 'c1', 'c2']]) {
 		const {client, sent} = createClient({live, answers: true});
-		const {by} = await client.offer(REQUEST);
+		const {by} = await client.place(REQUEST);
 		asked.add(by);
-		client.shadow(REQUEST, 'e1', 'e2');
-		client.note('r1', 'done', undefined);
+		client.notifyBackup(REQUEST, 'e1', 'e2');
+		client.reportMilestone('r1', 'done', undefined);
 		const shadow = sent.find(({message}) => message.type === 'shadow');
 		told.add(shadow?.host ?? '');
 		const ended = new Set(sent.filter(({message}) => message.type === 'milestone').map(({host}) => host));
@@ -30,8 +30,8 @@
 
 test('without an answer the host decides by itself and asks another one next time', async () => {
 	const {client, sent} = createClient({live: ['c1', 'c2'], answers: false});
-	const first = await client.offer(REQUEST);
-	const second = await client.offer({...REQUEST, id: 'r2'});
+	const first = await client.place(REQUEST);
+	const second = await client.place({...REQUEST, id: 'r2'});
 	assert.deepEqual([first.by, second.by], [SELF, SELF]);
 	assert.equal(first.decision.type, 'assignment');
 	assert.notEqual(sent[0]?.host, sent[1]?.host);
@@ -39,26 +39,26 @@
 
 test('without placing hosts the host decides by itself at once', async () => {
 	const {client, sent} = createClient({live: [], answers: false});
-	assert.equal((await client.offer(REQUEST)).by, SELF);
-	assert.equal((await client.noteRead(REQUEST, 'e1')).decision.type, 'assignment');
+	assert.equal((await client.place(REQUEST)).by, SELF);
+	assert.equal((await client.chooseRunner(REQUEST, 'e1')).decision.type, 'assignment');
 	assert.deepEqual(sent, []);
 });
 
 test('a late answer to an earlier question is not taken for one to a later one', async () => {
 	const {client} = createClient({live: ['c1'], answers: false});
-	await client.offer(REQUEST);
+	await client.place(REQUEST);
 	client.receive({type: 'assignment', id: 'r1', runner: 'ghost'}, 'c1');
-	const {decision} = await client.offer({...REQUEST, id: 'r1'});
+	const {decision} = await client.place({...REQUEST, id: 'r1'});
 	assert.equal(decision.type === 'assignment' && decision.runner, 'e1');
 });
 
 function createClient({live, answers}: {live: string[]; answers: boolean}) {
 	const sent: Array<{host: string; message: Message}> = [];
-	const local = new Placer();
+	const local = new Scheduler();
 	local.updateEngines([{
 		server: 'e1', incarnation: 1, service: 'llm', dataCentre: 'x', role: 'decode', slots: 8, kvTokens: 100_000,
 	}]);
-	const client: PlacingClient = new PlacingClient({
+	const client: PlacementClient = new PlacementClient({
 		listLive: () => live,
 		send(host, message) {
 			sent.push({host, message});
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -161,7 +161,7 @@
 		assert.equal((await site.call('/read/1')).status, 200);
 	}
 
-	const {values} = await site.metrics.repeats.get();
+	const {values} = await site.metrics.retries.get();
 	assert.equal(values.reduce((sum, {value}) => sum + value, 0), 0);
 });
 
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -3,7 +3,7 @@
 import {NaivePolicy, OwnPolicy} from '../bench/policy/policies.js';
 import {simulate} from '../bench/policy/simulate.js';
 import {formatTrace, generateTrace, parseTrace} from '../bench/policy/trace.js';
-import {PROFILES} from '../src/routing/roles.js';
+import {ROLE_PROFILES} from '../src/routing/roles.js';
 
 test('a trace survives being written and read', () => {
 	const trace = generateTrace('poison', 1);
@@ -14,7 +14,7 @@
 	test(`the stated outcome of the trace ${name} holds: engines lost, and every request answered or refused`, () => {
 		for (const seed of [1, 2]) {
 			const trace = generateTrace(name, seed);
-			const result = simulate(trace, new OwnPolicy(PROFILES.tallgrass, seed));
+			const result = simulate(trace, new OwnPolicy(ROLE_PROFILES.tallgrass, seed));
 			assert.equal(result.enginesLost, trace.expect.enginesLost, `seed ${seed}`);
 			assert.equal(result.unanswered, 0, `seed ${seed}`);
 		}
--- a/test/readqueue.test.ts
+++ b/test/queue.test.ts
@@ -1,36 +1,36 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {ReadQueue} from '../src/routing/readqueue.js';
+import {PrefillQueue} from '../src/routing/queue.js';
 
 test('a prompt waits for what was begun and for what is as urgent, not for what is less urgent', () => {
-	const queue = new ReadQueue();
+	const queue = new PrefillQueue();
 	queue.add('running', {workMs: 100, priority: 2}, 0);
 	queue.add('waiting', {workMs: 200, priority: 2}, 10);
 	queue.add('urgent', {workMs: 30, priority: 0}, 20);
 	assert.equal(queue.waitMs(0, 40), 60 + 30);
 	assert.equal(queue.waitMs(1, 40), 60 + 30);
 	assert.equal(queue.waitMs(2, 40), 60 + 30 + 200);
-	assert.equal(queue.countBehind(1, 40), 1);
+	assert.equal(queue.countLowerPriority(1, 40), 1);
 	// The urgent one is begun at 100 ms and keeps everything waiting for 30 ms.
 	assert.equal(queue.waitMs(0, 110), 20);
 });
 
 test('what is expected follows what is reported', () => {
-	const queue = new ReadQueue();
+	const queue = new PrefillQueue();
 	queue.add('a', {workMs: 100, priority: 0}, 0);
 	queue.add('b', {workMs: 100, priority: 0}, 0);
-	assert.deepEqual(queue.finish('a', 150), {
-		busyMs: 150, workMs: 100, tookMs: 150, wasAlone: true,
+	assert.deepEqual(queue.complete('a', 150), {
+		busyMs: 150, workMs: 100, totalMs: 150, wasIdle: true,
 	});
 	assert.equal(queue.waitMs(0, 150), 100);
-	assert.deepEqual(queue.finish('b', 230), {
-		busyMs: 80, workMs: 100, tookMs: 230, wasAlone: false,
+	assert.deepEqual(queue.complete('b', 230), {
+		busyMs: 80, workMs: 100, totalMs: 230, wasIdle: false,
 	});
 	assert.equal(queue.waitMs(0, 230), 0);
 });
 
 test('a prompt that is given up frees the rest of its time', () => {
-	const queue = new ReadQueue();
+	const queue = new PrefillQueue();
 	queue.add('a', {workMs: 500, priority: 0}, 0);
 	queue.add('b', {workMs: 50, priority: 0}, 0);
 	queue.remove('a', 100);
@@ -41,20 +41,20 @@
 });
 
 test('a prompt that is not reported read becomes overdue', () => {
-	const queue = new ReadQueue();
+	const queue = new PrefillQueue();
 	queue.add('a', {workMs: 100, priority: 0}, 0);
 	assert.equal(queue.overdueMs(100), 0);
 	assert.equal(queue.overdueMs(400), 300);
-	queue.finish('a', 400);
+	queue.complete('a', 400);
 	assert.equal(queue.overdueMs(400), 0);
 });
 
 test('a prompt that was read before its expected turn shows that the others were not begun yet', () => {
-	const queue = new ReadQueue();
+	const queue = new PrefillQueue();
 	queue.add('long', {workMs: 300, priority: 2}, 0);
 	queue.add('urgent', {workMs: 20, priority: 0}, 10);
 	// The engine took the urgent one first.
-	queue.finish('urgent', 60);
+	queue.complete('urgent', 60);
 	assert.equal(queue.waitMs(0, 100), 260);
 	assert.equal(queue.waitMs(0, 360), 0);
 });
--- a/test/routing.test.ts
+++ b/test/routing.test.ts
@@ -2,15 +2,15 @@
 import {test} from 'node:test';
 import {createRandom} from '../src/base/random.js';
 import {
-	chooseEngine, DEFAULT_SPEED, meetsTargets, type Candidate, type RequestShape,
+	chooseEngine, DEFAULT_ENGINE_SPEED, meetsTargets, type Candidate, type RequestShape,
 } from '../src/routing/choice.js';
 import {placeContinuation, placeRequest} from '../src/routing/handoff.js';
 import {HealthTracker, RetryBudget} from '../src/routing/health.js';
-import {Admission, PromiseMargin, type AdmissionEvent} from '../src/routing/limit.js';
+import {AdmissionController, AdmissionMargin, type AdmissionEvent} from '../src/routing/admission.js';
 import {LoadTracker} from '../src/routing/load.js';
-import {judgeRequest} from '../src/routing/poison.js';
-import {findHome, hashBlocks, PrefixIndex} from '../src/routing/prefix.js';
-import {chooseRoleChange, PROFILES, type RoledEngine} from '../src/routing/roles.js';
+import {classifyRequest} from '../src/routing/poison.js';
+import {findPrefixOwner, hashBlocks, PrefixIndex} from '../src/routing/prefix.js';
+import {chooseRoleChange, ROLE_PROFILES, type RoleCandidate} from '../src/routing/roles.js';
 import {assertSnapshot} from './snapshot.js';
 
 const LONG: RequestShape = {promptTokens: 4000, outputTokens: 100, dataCentre: 'a'};
@@ -54,48 +54,48 @@
 test('own work counts until a report can contain it', () => {
 	const loads = new LoadTracker(100);
 	const size = {promptTokens: 100, prefillTokens: 100, outputTokens: 10};
-	loads.begin('e1', 'r1', size, 1000);
+	loads.startRequest('e1', 'r1', size, 1000);
 	assert.equal(loads.estimate('e1').requests, 1);
-	loads.report('e1', {
+	loads.recordReport('e1', {
 		running: 3, waiting: 0, prefillTokens: 0, decodeTokens: 0,
 	}, 1050);
 	assert.equal(loads.estimate('e1').requests, 4);
-	loads.report('e1', {
+	loads.recordReport('e1', {
 		running: 3, waiting: 0, prefillTokens: 0, decodeTokens: 0,
 	}, 1500);
 	assert.equal(loads.estimate('e1').requests, 3);
-	loads.end('e1', 'r1');
-	assert.equal(loads.countOwn('e1'), 0);
+	loads.endRequest('e1', 'r1');
+	assert.equal(loads.countInFlight('e1'), 0);
 });
 
 test('cache events correct what is believed, and a gap makes it forgotten', () => {
 	const index = new PrefixIndex();
 	const hashes = hashBlocks('x'.repeat(1024));
-	index.note('e1', hashes);
+	index.record('e1', hashes);
 	assert.equal(index.countCached('e1', hashes), 4);
 	const event = {
 		sequence: 1, incarnation: 1, stored: [], removed: [hashes[3]!],
 	};
-	index.apply('e1', event);
+	index.applyEvent('e1', event);
 	assert.equal(index.countCached('e1', hashes), 3);
-	index.apply('e1', {...event, sequence: 3, removed: []});
+	index.applyEvent('e1', {...event, sequence: 3, removed: []});
 	assert.equal(index.countCached('e1', hashes), 0);
 });
 
 test('all hosts agree on the home of a prefix, and losing an engine moves only its own', () => {
 	const engines = ['e1', 'e2', 'e3', 'e4'];
 	for (let hash = 1; hash < 200; hash++) {
-		const home = findHome(engines, hash)!;
-		assert.equal(findHome(engines.toReversed(), hash), home);
+		const home = findPrefixOwner(engines, hash)!;
+		assert.equal(findPrefixOwner(engines.toReversed(), hash), home);
 		const rest = engines.filter(engine => engine !== 'e4');
-		assert.equal(findHome(rest, hash), home === 'e4' ? findHome(rest, hash) : home);
+		assert.equal(findPrefixOwner(rest, hash), home === 'e4' ? findPrefixOwner(rest, hash) : home);
 	}
 });
 
 test('a promise shrinks when work comes late and grows back', () => {
-	const margin = new PromiseMargin();
+	const margin = new AdmissionMargin();
 	for (let late = 0; late < 10; late++) {
-		margin.note(false);
+		margin.record(false);
 	}
 
 	assert.ok(margin.share < 0.4);
@@ -104,21 +104,21 @@
 	};
 	assert.ok(!meetsTargets(cost, {firstTokenMs: 740, betweenTokensMs: 27}, margin.share));
 	for (let onTime = 0; onTime < 100; onTime++) {
-		margin.note(true);
+		margin.record(true);
 	}
 
 	assert.equal(margin.share, 1);
 });
 
 test('a heavy team does not starve a light one, and weights count', () => {
-	const admission = new Admission();
+	const admission = new AdmissionController();
 	const started: string[] = [];
 	const take = (events: readonly AdmissionEvent[]) => {
 		started.push(...events.filter(event => event.type === 'start').map(({id}) => id));
 	};
 
-	const offer = (id: string, team: string, weight = 1) => admission.offer({
-		id, team, weight, tokens: 100, teamLimit: 1e9, startByMs: 1e9,
+	const offer = (id: string, team: string, weight = 1) => admission.submit({
+		id, team, weight, tokens: 100, teamTokenLimit: 1e9, latestStartMs: 1e9,
 	}, 100, 0);
 	take(offer('first', 'heavy'));
 	for (let index = 0; index < 20; index++) {
@@ -128,29 +128,29 @@
 	take(offer('light', 'light'));
 	take(offer('double', 'double', 2));
 	for (let step = 0; step < 4; step++) {
-		take(admission.end(started.at(-1)!, 100, step));
+		take(admission.complete(started.at(-1)!, 100, step));
 	}
 
 	assert.ok(started.indexOf('light') > 0 && started.indexOf('double') > 0, started.join(' '));
 });
 
 test('what cannot start before its deadline is refused at once, with the time to come back', () => {
-	const admission = new Admission();
+	const admission = new AdmissionController();
 	const base = {
-		team: 't', weight: 1, tokens: 1000, teamLimit: 1e9,
+		team: 't', weight: 1, tokens: 1000, teamTokenLimit: 1e9,
 	};
-	admission.offer({...base, id: 'a', startByMs: 1000}, 1000, 0);
-	admission.end('a', 1000, 1000);
-	admission.offer({...base, id: 'b', startByMs: 5000}, 1000, 1000);
-	const [event] = admission.offer({...base, id: 'c', startByMs: 1100}, 1000, 1000);
+	admission.submit({...base, id: 'a', latestStartMs: 1000}, 1000, 0);
+	admission.complete('a', 1000, 1000);
+	admission.submit({...base, id: 'b', latestStartMs: 5000}, 1000, 1000);
+	const [event] = admission.submit({...base, id: 'c', latestStartMs: 1100}, 1000, 1000);
 	assert.equal(event?.type, 'refuse');
 	assert.ok(event?.type === 'refuse' && event.retryAfterSeconds >= 1);
 });
 
 test('a team over its own limit is refused while others run', () => {
-	const admission = new Admission();
-	const [event] = admission.offer({
-		id: 'x', team: 't', weight: 1, tokens: 500, teamLimit: 100, startByMs: 1e9,
+	const admission = new AdmissionController();
+	const [event] = admission.submit({
+		id: 'x', team: 't', weight: 1, tokens: 500, teamTokenLimit: 100, latestStartMs: 1e9,
 	}, 1e6, 0);
 	assert.deepEqual([event?.type, event?.type === 'refuse' && event.reason], ['refuse', 'team']);
 });
@@ -159,8 +159,8 @@
 	const budget = new RetryBudget(0.1, 5);
 	let retries = 0;
 	for (let request = 0; request < 1000; request++) {
-		budget.noteRequest();
-		retries += budget.take() ? 1 : 0;
+		budget.recordRequest();
+		retries += budget.tryAcquire() ? 1 : 0;
 	}
 
 	assert.ok(retries <= 105);
@@ -168,35 +168,35 @@
 
 test('suspicion grows with failures and ends with a success', () => {
 	const health = new HealthTracker();
-	health.noteFailure('e1', 0);
+	health.recordFailure('e1', 0);
 	assert.ok(health.isSuspected('e1', 400));
 	assert.ok(!health.isSuspected('e1', 600));
-	health.noteFailure('e1', 600);
+	health.recordFailure('e1', 600);
 	assert.ok(health.isSuspected('e1', 1500));
-	health.noteSuccess('e1');
+	health.recordSuccess('e1');
 	assert.ok(!health.isSuspected('e1', 1500));
 });
 
 test('two crashes condemn a request; one makes it a suspect until it has run', () => {
-	assert.equal(judgeRequest({servers: []}), 'clear');
-	assert.equal(judgeRequest({servers: ['e1#1']}), 'suspect');
-	assert.equal(judgeRequest({servers: ['e1#1', 'e2#1']}), 'poisoned');
-	assert.equal(judgeRequest({servers: ['e1#1'], acquitted: ['e1#1']}), 'clear');
+	assert.equal(classifyRequest({servers: []}), 'clear');
+	assert.equal(classifyRequest({servers: ['e1#1']}), 'suspect');
+	assert.equal(classifyRequest({servers: ['e1#1', 'e2#1']}), 'poisoned');
+	assert.equal(classifyRequest({servers: ['e1#1'], acquitted: ['e1#1']}), 'clear');
 	// Acquitted, it may run beside a request that crashes its next server: that alone proves nothing.
-	assert.equal(judgeRequest({servers: ['e1#1', 'e2#1'], acquitted: ['e1#1']}), 'suspect');
-	assert.equal(judgeRequest({servers: ['e1#1', 'e2#1', 'e3#1'], acquitted: ['e1#1']}), 'poisoned');
-	assert.equal(judgeRequest({servers: ['e1#1', 'e2#1', 'e3#1', 'e4#1'], acquitted: ['e1#1', 'e2#1', 'e3#1', 'e4#1']}), 'poisoned');
+	assert.equal(classifyRequest({servers: ['e1#1', 'e2#1'], acquitted: ['e1#1']}), 'suspect');
+	assert.equal(classifyRequest({servers: ['e1#1', 'e2#1', 'e3#1'], acquitted: ['e1#1']}), 'poisoned');
+	assert.equal(classifyRequest({servers: ['e1#1', 'e2#1', 'e3#1', 'e4#1'], acquitted: ['e1#1', 'e2#1', 'e3#1', 'e4#1']}), 'poisoned');
 });
 
 test('a role is changed only where the gain exceeds the cost, and not within the dwell time', () => {
-	const engines: RoledEngine[] = ['prefill', 'prefill', 'decode', 'decode', 'decode', 'decode'].map((role, index) => ({
-		server: `e${index}`, role: role as RoledEngine['role'], running: index,
+	const engines: RoleCandidate[] = ['prefill', 'prefill', 'decode', 'decode', 'decode', 'decode'].map((role, index) => ({
+		server: `e${index}`, role: role as RoleCandidate['role'], running: index,
 	}));
 	const heavy = {prefill: 3.5, decode: 1};
-	assert.deepEqual([chooseRoleChange(heavy, engines, 60, PROFILES.tallgrass)?.server, chooseRoleChange(heavy, engines, 60, PROFILES.tallgrass)?.role], ['e2', 'prefill']);
-	assert.equal(chooseRoleChange(heavy, engines, 1, PROFILES.tallgrass), undefined);
-	assert.equal(chooseRoleChange({prefill: 1.45, decode: 1}, engines, 600, PROFILES.hrafnsvik), undefined);
-	assert.equal(chooseRoleChange({prefill: 1, decode: 2}, engines, 600, PROFILES.tallgrass), undefined);
+	assert.deepEqual([chooseRoleChange(heavy, engines, 60, ROLE_PROFILES.tallgrass)?.server, chooseRoleChange(heavy, engines, 60, ROLE_PROFILES.tallgrass)?.role], ['e2', 'prefill']);
+	assert.equal(chooseRoleChange(heavy, engines, 1, ROLE_PROFILES.tallgrass), undefined);
+	assert.equal(chooseRoleChange({prefill: 1.45, decode: 1}, engines, 600, ROLE_PROFILES.hrafnsvik), undefined);
+	assert.equal(chooseRoleChange({prefill: 1, decode: 2}, engines, 600, ROLE_PROFILES.tallgrass), undefined);
 });
 
 function createCandidate(server: string, extra: Partial<Candidate> = {}): Candidate {
@@ -205,7 +205,7 @@
 		role: 'mixed',
 		dataCentre: 'a',
 		load: {requests: 0, prefillTokens: 0, decodeTokens: 0},
-		speed: DEFAULT_SPEED,
+		speed: DEFAULT_ENGINE_SPEED,
 		cachedTokens: 0,
 		maxRunning: 42,
 		kvTokens: 64_000,
