--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -123,14 +123,14 @@
 			const timeoutMs = attempt === 1 ? Math.min(leftMs, Math.max(500, leftMs / 3)) : leftMs;
 			const result = await this.#send(call, server, {attempt, timeoutMs, isFresh: attempt > 1});
 			if (result.type === 'answer') {
-				pool.health.noteSuccess(server.server);
+				pool.health.recordSuccess(server.server);
 				return Either.right(result.answer);
 			}
 
 			metrics.retries.inc({reason: result.type});
 			if (result.type === 'not-run' || attempt > 1) {
 				tried.add(server.server);
-				pool.health.noteFailure(server.server, clock.monotonicMs());
+				pool.health.recordFailure(server.server, clock.monotonicMs());
 			}
 		}
 
@@ -246,7 +246,7 @@
 			}
 
 			tried.add(server.server);
-			pool.health.noteFailure(server.server, clock.monotonicMs());
+			pool.health.recordFailure(server.server, clock.monotonicMs());
 		}
 
 		return last;
@@ -272,7 +272,7 @@
 		const {plainClient, pool, clock} = this.#options;
 		const id = `${call.exchange.id}.${options.attempt}`;
 		this.#note(call, `It goes to server ${server.server}.`);
-		pool.loads.begin(server.server, id, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
+		pool.loads.startRequest(server.server, id, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
 		const result = await plainClient.send(server, {
 			id,
 			method: call.exchange.method,
@@ -282,7 +282,7 @@
 			timeoutMs: options.timeoutMs,
 			usesNewConnection: options.isFresh,
 		});
-		pool.loads.end(server.server, id);
+		pool.loads.endRequest(server.server, id);
 		if (result.type !== 'answer') {
 			this.#note(call, `Server ${server.server}: ${result.text} (${result.type}).`);
 		}
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type {Announcement, Sighting} from '../generated/types.js';
+import type {Announcement, ServerStatus} from '../generated/types.js';
 
 export const MERGE_RESULTS = {none: 'none', refresh: 'refresh', change: 'change'} as const;
 export type MergeResult = keyof typeof MERGE_RESULTS;
@@ -48,12 +48,12 @@
 		return this.#revision;
 	}
 
-	findStatus(server: string): Sighting | undefined {
+	findStatus(server: string): ServerStatus | undefined {
 		const row = this.#rows.get(server);
 		return row && toSighting(row);
 	}
 
-	listStatuses(): Sighting[] {
+	listStatuses(): ServerStatus[] {
 		return [...this.#rows.values()].map(row => toSighting(row));
 	}
 
@@ -70,8 +70,8 @@
 	}
 
 	/** What changed after a revision; with `refreshes`, also servers that only announced themselves again. */
-	listChangedSince(revision: number, refreshes: boolean): Sighting[] {
-		const result: Sighting[] = [];
+	listChangedSince(revision: number, refreshes: boolean): ServerStatus[] {
+		const result: ServerStatus[] = [];
 		for (const row of this.#rows.values()) {
 			if ((refreshes ? Math.max(row.changed, row.refreshed) : row.changed) > revision) {
 				result.push(toSighting(row));
@@ -113,7 +113,7 @@
 	}
 
 	/** Takes what another host knows; its silence counts for nothing here, its goodbye does. */
-	mergeStatus({announcement, gone, silent}: Sighting, nowMs: number): MergeResult {
+	mergeStatus({announcement, gone, silent}: ServerStatus, nowMs: number): MergeResult {
 		const merge = silent ? MERGE_RESULTS.none : this.merge(announcement, nowMs);
 		const known = this.#rows.get(announcement.server);
 		if (gone && known?.announcement.incarnation === announcement.incarnation && this.deregister(announcement.server)) {
@@ -188,6 +188,6 @@
 		&& a.models?.join(',') === b.models?.join(',');
 }
 
-function toSighting({announcement, gone, silent}: Row): Sighting {
+function toSighting({announcement, gone, silent}: Row): ServerStatus {
 	return {announcement, gone, silent};
 }
