--- a/bench/commits.ts
+++ b/bench/commits.ts
@@ -16,12 +16,12 @@
 import {createClock} from '../src/base/clock.js';
 import {createSilentLoggers} from '../src/base/logger.js';
 import {createRandom} from '../src/base/random.js';
-import {ConsensusNode, type Machine} from '../src/consensus/node.js';
+import {ConsensusNode, type StateMachine} from '../src/consensus/node.js';
 import {EMPTY_SNAPSHOT, Storage} from '../src/consensus/storage.js';
-import {ControlState, type StateImage} from '../src/control/state.js';
+import {ControlState, type ControlStateSnapshot} from '../src/control/state.js';
 import type {Command, Configuration, Member} from '../src/generated/types.js';
 import {Listener} from '../src/wire/connection.js';
-import {decodeValue, encodeValue} from '../src/wire/frame.js';
+import {decodeCbor, encodeCbor} from '../src/wire/frame.js';
 import {findPort, ProcessFleet, waitUntil} from '../dev/fleet.js';
 import {bookSeat, findLeader} from '../dev/client.js';
 import {summarizeDurations, type DurationPercentiles} from './statistics.js';
@@ -55,7 +55,7 @@
 	await Promise.all(Array.from({length: options.inFlight}, async (_, client) => {
 		for (let index = 0; performance.now() < untilMs; index++) {
 			const proposedMs = performance.now();
-			const result = await leader.propose(encodeValue(createClaim(`${client}/${index}`)));
+			const result = await leader.propose(encodeCbor(createClaim(`${client}/${index}`)));
 			if (Either.isRight(result)) {
 				latenciesMs.push(performance.now() - proposedMs);
 			}
@@ -116,7 +116,7 @@
 	async #startNode(member: Member, configuration: Configuration, batched: boolean): Promise<void> {
 		const holder: {node?: ConsensusNode} = {};
 		const storage = await Storage.open(path.join(this.#folder, member.replica), {
-			batched, onSynced: sequence => holder.node?.synced(sequence), onFailed(problem) {
+			batchWrites: batched, onSynced: sequence => holder.node?.markSynced(sequence), onWriteFailure(problem) {
 				console.error(problem.text);
 			},
 		});
@@ -126,15 +126,15 @@
 
 		const node = new ConsensusNode({
 			replica: member.replica,
-			image: {...storage.right.image, snapshot: {...EMPTY_SNAPSHOT, configuration}},
+			persistentState: {...storage.right.persistentState, snapshot: {...EMPTY_SNAPSHOT, configuration}},
 			storage: storage.right,
-			machine: createMachine(),
+			stateMachine: createMachine(),
 			clock: createClock(),
 			random: createRandom(member.port),
 			logger: createSilentLoggers()('consensus'),
-			onLeadership: () => undefined,
+			onLeadershipChange: () => undefined,
 			onApplied: () => undefined,
-			grouped: batched,
+			batchProposals: batched,
 		});
 		holder.node = node;
 		this.#nodes.push(node);
@@ -148,16 +148,16 @@
 	}
 }
 
-function createMachine(): Machine {
+function createMachine(): StateMachine {
 	let state = new ControlState();
 	return {
-		apply: entry => state.apply(decodeValue(entry.data) as Command, entry.index),
+		apply: entry => state.apply(decodeCbor(entry.data) as Command, entry.index),
 		skip(index) {
 			state.skip(index);
 		},
-		save: () => encodeValue(state.save()),
+		createSnapshot: () => encodeCbor(state.createSnapshot()),
 		restore(data) {
-			state = new ControlState(decodeValue(data) as StateImage);
+			state = new ControlState(decodeCbor(data) as ControlStateSnapshot);
 		},
 	};
 }
@@ -202,17 +202,17 @@
 	const leader = await group.waitForLeader();
 	const batchSize = 64;
 	for (let done = 0; done < changes; done += batchSize) {
-		await Promise.all(Array.from({length: Math.min(batchSize, changes - done)}, async (_, index) => leader.propose(encodeValue(createPut(done + index)))));
+		await Promise.all(Array.from({length: Math.min(batchSize, changes - done)}, async (_, index) => leader.propose(encodeCbor(createPut(done + index)))));
 	}
 
 	const folder = group.folderOf('r0');
 	const durationsMs: number[] = [];
 	for (let round = 0; round < 15; round++) {
 		const startedMs = performance.now();
-		const storage = await Storage.open(folder, {onSynced: () => undefined, onFailed: () => undefined});
+		const storage = await Storage.open(folder, {onSynced: () => undefined, onWriteFailure: () => undefined});
 		if (Either.isRight(storage)) {
 			const machine = createMachine();
-			const {snapshot, entries} = storage.right.image;
+			const {snapshot, entries} = storage.right.persistentState;
 			if (snapshot.data.length > 0) {
 				machine.restore(snapshot.data);
 			}
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -12,7 +12,7 @@
 import path from 'node:path';
 import process from 'node:process';
 import {parseArgs} from 'node:util';
-import {PROFILES} from '../src/routing/roles.js';
+import {ROLE_PROFILES} from '../src/routing/roles.js';
 import {
 	DEFAULT_FEATURES, GreedyPolicy, NaivePolicy, CarawayhoistPolicy, type Features, type Policy,
 } from './policy/policies.js';
@@ -34,7 +34,7 @@
 	},
 });
 
-type ProfileName = keyof typeof PROFILES;
+type ProfileName = keyof typeof ROLE_PROFILES;
 /** One line of output: the result of a policy on a trace. */
 type Row = Omit<SimulationResult, 'unanswered' | 'enginesLost' | 'lateFirstTokens'> & {readonly trace: TraceName; readonly profile: ProfileName; readonly seed: number; readonly policy: string};
 
@@ -42,8 +42,8 @@
 const profiles = (values.profile === undefined ? ['tallgrass', 'hrafnsvik'] : [values.profile]) as ProfileName[];
 const seeds = Array.from({length: Number(values.seeds)}, (_, index) => Number(values.seed) + index);
 
-if (traces.length === 0 || profiles.some(name => !(name in PROFILES))) {
-	console.error(`Unknown trace or profile. Traces: ${TRACE_NAMES.join(', ')}. Profiles: ${Object.keys(PROFILES).join(', ')}.`);
+if (traces.length === 0 || profiles.some(name => !(name in ROLE_PROFILES))) {
+	console.error(`Unknown trace or profile. Traces: ${TRACE_NAMES.join(', ')}. Profiles: ${Object.keys(ROLE_PROFILES).join(', ')}.`);
 	process.exit(2);
 }
 
@@ -72,7 +72,7 @@
 function runPolicies(name: TraceName, profile: ProfileName, seed: number): Row[] {
 	const trace = generateTrace(name, seed);
 	const policies: Array<readonly [string, Policy]> = [
-		['carawayhoist', new CarawayhoistPolicy(PROFILES[profile], seed)],
+		['carawayhoist', new CarawayhoistPolicy(ROLE_PROFILES[profile], seed)],
 		['naive', new NaivePolicy()],
 		['greedy', new GreedyPolicy()],
 	];
@@ -118,7 +118,7 @@
 	for (const name of traces) {
 		for (const profile of profiles) {
 			for (const [title, features] of variants) {
-				const results = seeds.map(seed => simulate(generateTrace(name, seed), new CarawayhoistPolicy(PROFILES[profile], seed, features)));
+				const results = seeds.map(seed => simulate(generateTrace(name, seed), new CarawayhoistPolicy(ROLE_PROFILES[profile], seed, features)));
 				const {mean, deviation} = computeSpread(results.map(({goodput}) => goodput));
 				const changes = computeSpread(results.map(({roleChanges}) => roleChanges)).mean;
 				const late = computeSpread(results.map(result => result.late)).mean;
--- a/bench/policy/simulation.ts
+++ b/bench/policy/simulation.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
-import {judgeRequest} from '../../src/routing/poison.js';
-import {DEFAULT_TARGETS} from '../../src/routing/choice.js';
+import {classifyRequest} from '../../src/routing/poison.js';
+import {DEFAULT_LATENCY_TARGETS} from '../../src/routing/choice.js';
 import {percentile} from '../statistics.js';
 import {
 	ENGINE_SPEED, MAX_RUNNING_REQUESTS, SimulatedEngine, type EngineJob,
@@ -79,7 +79,7 @@
 export function computeGoodputBound(trace: Trace): number {
 	const windowMs = 30_000;
 	// Requests may finish after their window: slack for the first token and the longest output, 1.5 * 280 tokens.
-	const slackMs = DEFAULT_TARGETS.firstTokenMs + (420 * DEFAULT_TARGETS.betweenTokensMs);
+	const slackMs = DEFAULT_LATENCY_TARGETS.firstTokenMs + (420 * DEFAULT_LATENCY_TARGETS.betweenTokensMs);
 	let good = 0;
 	for (let start = 0; start < trace.durationMs; start += windowMs) {
 		const costs = trace.requests
@@ -190,7 +190,7 @@
 
 	#place(inFlight: InFlightRequest, nowMs: number): void {
 		inFlight.attempts++;
-		const poisonState = this.#policy.detectsPoison ? judgeRequest({servers: this.#crashes.get(createFingerprint(inFlight.request)) ?? []}) : 'clear';
+		const poisonState = this.#policy.detectsPoison ? classifyRequest({servers: this.#crashes.get(createFingerprint(inFlight.request)) ?? []}) : 'clear';
 		if (poisonState === 'poisoned' || inFlight.attempts > MAX_ATTEMPTS) {
 			this.#refuse();
 			return;
@@ -248,7 +248,7 @@
 		inFlight.engine = engine;
 		if (inFlight.tokens === 0) {
 			inFlight.firstTokenMs = nowMs - inFlight.startedMs;
-			this.#policy.recordTimeliness?.(inFlight.request, inFlight.firstTokenMs <= DEFAULT_TARGETS.firstTokenMs);
+			this.#policy.recordTimeliness?.(inFlight.request, inFlight.firstTokenMs <= DEFAULT_LATENCY_TARGETS.firstTokenMs);
 		} else {
 			inFlight.tokenGapsMs.push(nowMs - inFlight.lastTokenAtMs);
 		}
@@ -283,10 +283,10 @@
 		}
 
 		this.#unanswered--;
-		const isOnTime = inFlight.firstTokenMs <= DEFAULT_TARGETS.firstTokenMs && percentile(inFlight.tokenGapsMs, 0.95) <= DEFAULT_TARGETS.betweenTokensMs;
+		const isOnTime = inFlight.firstTokenMs <= DEFAULT_LATENCY_TARGETS.firstTokenMs && percentile(inFlight.tokenGapsMs, 0.95) <= DEFAULT_LATENCY_TARGETS.betweenTokensMs;
 		this.#onTime += isOnTime ? 1 : 0;
 		this.#late += isOnTime ? 0 : 1;
-		this.#lateFirstTokens += inFlight.firstTokenMs > DEFAULT_TARGETS.firstTokenMs ? 1 : 0;
+		this.#lateFirstTokens += inFlight.firstTokenMs > DEFAULT_LATENCY_TARGETS.firstTokenMs ? 1 : 0;
 	}
 
 	#placeContinuation(inFlight: InFlightRequest, nowMs: number): void {
--- a/dev/fuzz/control.ts
+++ b/dev/fuzz/control.ts
@@ -5,19 +5,19 @@
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import {createRandom} from '../../src/base/random.js';
-import {Replica, type Effect, type LogRecord} from '../../src/consensus/replica.js';
-import {applyRecords, EMPTY_IMAGE, type Image} from '../../src/consensus/storage.js';
+import {Replica, type ReplicaEffect, type LogRecord} from '../../src/consensus/replica.js';
+import {applyRecords, EMPTY_PERSISTENT_STATE, type PersistentState} from '../../src/consensus/storage.js';
 import {
 	Controller, type ControllerEffect, type ControllerTiming, type OrderReport,
 } from '../../src/control/controller.js';
 import {
-	checkRepair, isRepaired, nextConfiguration, type MembersView, type Repair,
-} from '../../src/control/members.js';
-import {ControlState, type StateImage} from '../../src/control/state.js';
+	validateReconfiguration, isReconfigurationComplete, planNextConfiguration, type ConfigurationStatus, type Reconfiguration,
+} from '../../src/control/reconfiguration.js';
+import {ControlState, type ControlStateSnapshot} from '../../src/control/state.js';
 import type {
-	Command, CommandEntry, Configuration, ConsensusBody, Entry, Member, Outcome, Renew, ViewUpdate,
+	Command, CommandEntry, Configuration, ConsensusBody, Entry, Member, CommandOutcome, RenewRequest, ViewUpdate,
 } from '../../src/generated/types.js';
-import {decodeValue, encodeValue} from '../../src/wire/frame.js';
+import {decodeCbor, encodeCbor} from '../../src/wire/frame.js';
 import type {EngineProcess} from './backend.js';
 import type {InvariantChecker} from './invariants.js';
 import {createConsensusMechanisms, createOrderMechanisms, type Mutation} from './mutations.js';
@@ -60,11 +60,11 @@
 	identity: string;
 	state = new ControlState();
 	controller: Controller | undefined;
-	reconfiguration: Repair | undefined;
-	#persistentState: Image;
+	reconfiguration: Reconfiguration | undefined;
+	#persistentState: PersistentState;
 	#unsyncedWrites: PendingWrite[] = [];
 	#isSyncing = false;
-	readonly #pendingProposals = new Map<number, {readonly term: number; readonly reply: ReplyCallback<Outcome>}>();
+	readonly #pendingProposals = new Map<number, {readonly term: number; readonly reply: ReplyCallback<CommandOutcome>}>();
 	readonly #pendingReads = new Map<number, ReplyCallback<ControlState>>();
 	#nextRead = 1;
 	#incarnation = 1;
@@ -75,7 +75,7 @@
 		this.host = host;
 		this.identity = `${host}.1`;
 		this.process = context.simulator.addProcess(host);
-		this.#persistentState = initialConfiguration ? {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: initialConfiguration}} : EMPTY_IMAGE;
+		this.#persistentState = initialConfiguration ? {...EMPTY_PERSISTENT_STATE, snapshot: {...EMPTY_PERSISTENT_STATE.snapshot, configuration: initialConfiguration}} : EMPTY_PERSISTENT_STATE;
 		context.controls.set(host, this);
 		this.#start();
 	}
@@ -87,7 +87,7 @@
 	/** Whether it is the leader, knows all committed entries, and no other leader can exist yet. */
 	get holdsLeaderLease(): boolean {
 		const {nowMs} = this.#context.simulator;
-		return this.isLeader && this.replica!.isLeaderReady && this.replica!.leaseUntilMs(nowMs) > nowMs;
+		return this.isLeader && this.replica!.isLeaderReady && this.replica!.getLeaseExpiryMs(nowMs) > nowMs;
 	}
 
 	kill(options: {readonly wipe: boolean}): void {
@@ -104,10 +104,10 @@
 		this.#pendingProposals.clear();
 		this.#pendingReads.clear();
 		if (options.wipe) {
-			this.#persistentState = EMPTY_IMAGE;
+			this.#persistentState = EMPTY_PERSISTENT_STATE;
 			if (mutation === 'wiped-replica-votes') {
 				// The replica keeps its identity and starts from the initial configuration, as if both came from its settings.
-				this.#persistentState = {...EMPTY_IMAGE, snapshot: {...EMPTY_IMAGE.snapshot, configuration: this.#context.checker.initialConfiguration}};
+				this.#persistentState = {...EMPTY_PERSISTENT_STATE, snapshot: {...EMPTY_PERSISTENT_STATE.snapshot, configuration: this.#context.checker.initialConfiguration}};
 			} else {
 				this.#incarnation++;
 				this.identity = `${this.host}.${this.#incarnation}`;
@@ -133,7 +133,7 @@
 		}
 	}
 
-	propose(command: Command, reply: ReplyCallback<Outcome>): void {
+	propose(command: Command, reply: ReplyCallback<CommandOutcome>): void {
 		const {replica} = this;
 		if (!replica?.isLeaderReady) {
 			reply(Either.left('not-leader'));
@@ -141,7 +141,7 @@
 		}
 
 		this.#pendingProposals.set(replica.lastIndex + 1, {term: replica.term, reply});
-		this.#execute(replica.step({type: 'propose', data: [encodeValue(command)]}, this.#context.simulator.nowMs));
+		this.#execute(replica.step({type: 'propose', data: [encodeCbor(command)]}, this.#context.simulator.nowMs));
 	}
 
 	read(reply: ReplyCallback<ControlState>): void {
@@ -153,23 +153,23 @@
 	}
 
 	/** Renews a view lease and subscribes the entry host to later updates of the resource view. */
-	renew(message: Renew, subscriber: {readonly process: SimulatedProcess; push(view: ViewUpdate): void}, reply: ReplyCallback<{readonly leaseMs: number; readonly view: ViewUpdate}>): void {
+	renew(message: RenewRequest, subscriber: {readonly process: SimulatedProcess; push(view: ViewUpdate): void}, reply: ReplyCallback<{readonly leaseMs: number; readonly view: ViewUpdate}>): void {
 		if (this.controller === undefined || !this.holdsLeaderLease) {
 			reply(Either.left('not-leader'));
 			return;
 		}
 
-		const leaseMs = this.controller.renew(message, this.#context.simulator.nowMs);
+		const leaseMs = this.controller.renewViewLease(message, this.#context.simulator.nowMs);
 		this.#subscribers.set(message.host, {
 			...subscriber, push(view) {
 				subscriber.push(view);
 			}, sentVersion: this.state.viewVersion,
 		});
-		reply(Either.right({leaseMs, view: this.state.updateSince(message.version)}));
+		reply(Either.right({leaseMs, view: this.state.createViewUpdate(message.version)}));
 	}
 
-	beginReconfiguration(reconfiguration: Repair): boolean {
-		if (!this.replica?.isLeaderReady || Either.isLeft(checkRepair(reconfiguration, this.#membersView(), this.reconfiguration))) {
+	beginReconfiguration(reconfiguration: Reconfiguration): boolean {
+		if (!this.replica?.isLeaderReady || Either.isLeft(validateReconfiguration(reconfiguration, this.#membersView(), this.reconfiguration))) {
 			return false;
 		}
 
@@ -180,7 +180,7 @@
 
 	transferLeadership(): void {
 		if (this.replica) {
-			this.#execute(this.replica.step({type: 'hand-over'}, this.#context.simulator.nowMs));
+			this.#execute(this.replica.step({type: 'transfer-leadership'}, this.#context.simulator.nowMs));
 		}
 	}
 
@@ -194,7 +194,7 @@
 			entries: this.#persistentState.entries,
 			nowMs: simulator.nowMs,
 			random: createRandom(Math.floor(simulator.random() * 1e9)),
-			mechanisms: createConsensusMechanisms(mutation),
+			safeguards: createConsensusMechanisms(mutation),
 			maxEntriesPerAppend: this.#context.maxEntriesPerAppend,
 		});
 		const tick = () => {
@@ -211,12 +211,12 @@
 		simulator.scheduleOn(this.process, simulator.random() * TICK_MS, tickController);
 	}
 
-	#createState(image?: StateImage): ControlState {
+	#createState(image?: ControlStateSnapshot): ControlState {
 		return new ControlState(image, this.#context.mutation !== 'no-claim-before-send');
 	}
 
 	#restoreState(data: Uint8Array): ControlState {
-		return this.#createState(decodeValue(data) as StateImage);
+		return this.#createState(decodeCbor(data) as ControlStateSnapshot);
 	}
 
 	#tick(): void {
@@ -225,7 +225,7 @@
 		this.#execute(replica.step({type: 'tick'}, simulator.nowMs));
 		const applied = this.state.version;
 		if (applied - replica.snapshotIndex > COMPACT_AFTER_ENTRIES) {
-			this.#execute(replica.step({type: 'compact', index: applied, data: encodeValue(this.state.save())}, simulator.nowMs));
+			this.#execute(replica.step({type: 'compact', index: applied, data: encodeCbor(this.state.createSnapshot())}, simulator.nowMs));
 		}
 	}
 
@@ -247,33 +247,33 @@
 			return;
 		}
 
-		if (isRepaired(this.reconfiguration, view)) {
+		if (isReconfigurationComplete(this.reconfiguration, view)) {
 			this.#context.simulator.log(`${this.host} finished the reconfiguration`);
 			this.reconfiguration = undefined;
 			return;
 		}
 
-		const next = nextConfiguration(this.reconfiguration, view);
+		const next = planNextConfiguration(this.reconfiguration, view);
 		if (next) {
 			const configuration = this.#context.mutation === 'swap-in-one-step' ? {...next, outgoing: []} : next;
-			this.#execute(this.replica!.step({type: 'configure', configuration}, this.#context.simulator.nowMs));
+			this.#execute(this.replica!.step({type: 'propose-configuration', configuration}, this.#context.simulator.nowMs));
 		}
 	}
 
-	#membersView(): MembersView {
+	#membersView(): ConfigurationStatus {
 		const {nowMs} = this.#context.simulator;
 		const replica = this.replica!;
 		return {
 			configuration: replica.configuration,
 			isCommitted: replica.isConfigurationCommitted,
 			commitIndex: replica.commitIndex,
-			progressOf: name => replica.progressOf(name, nowMs),
+			getProgress: name => replica.getProgress(name, nowMs),
 		};
 	}
 
 	#leaderLease() {
 		const {nowMs} = this.#context.simulator;
-		return {nowMs, wallMs: Math.floor(nowMs), leaseUntilMs: this.replica!.leaseUntilMs(nowMs)};
+		return {nowMs, wallMs: Math.floor(nowMs), leaseUntilMs: this.replica!.getLeaseExpiryMs(nowMs)};
 	}
 
 	#executeControllerEffect(effect: ControllerEffect): void {
@@ -336,13 +336,13 @@
 		}
 
 		if (this.controller && this.replica?.isLeaderReady) {
-			for (const effect of this.controller.report(report, this.#leaderLease())) {
+			for (const effect of this.controller.handleReport(report, this.#leaderLease())) {
 				this.#executeControllerEffect(effect);
 			}
 		}
 	}
 
-	#execute(effects: readonly Effect[]): void {
+	#execute(effects: readonly ReplicaEffect[]): void {
 		const {generation} = this.process;
 		for (const effect of effects) {
 			// A process that is killed in the middle of a step does not execute the remaining effects.
@@ -352,7 +352,7 @@
 		}
 	}
 
-	#executeEffect(effect: Effect): void {
+	#executeEffect(effect: ReplicaEffect): void {
 		const {simulator, checker, mutation} = this.#context;
 		switch (effect.type) {
 			case 'write': {
@@ -461,7 +461,7 @@
 		const {simulator} = this.#context;
 		for (const subscriber of this.holdsLeaderLease ? this.#subscribers.values() : []) {
 			if (subscriber.sentVersion < this.state.viewVersion) {
-				const view = this.state.updateSince(subscriber.sentVersion);
+				const view = this.state.createViewUpdate(subscriber.sentVersion);
 				subscriber.sentVersion = this.state.viewVersion;
 				simulator.send(this.process, subscriber.process, () => {
 					subscriber.push(view);
@@ -470,8 +470,8 @@
 		}
 	}
 
-	#applyCommand(entry: CommandEntry): Outcome {
-		const command = decodeValue(entry.data) as Command;
+	#applyCommand(entry: CommandEntry): CommandOutcome {
+		const command = decodeCbor(entry.data) as Command;
 		const isEvaluatedAgain = this.#context.mutation === 'no-request-memory' && command.type === 'put';
 		return this.state.apply(isEvaluatedAgain ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
 	}
--- a/dev/fuzz/entry.ts
+++ b/dev/fuzz/entry.ts
@@ -6,11 +6,11 @@
  */
 import * as Either from 'fp-ts/lib/Either.js';
 import {pick} from '../../src/base/random.js';
-import {isNewer} from '../../src/control/controller.js';
+import {isNewerAnnouncement} from '../../src/control/controller.js';
 import type {
-	Announcement, Command, LedgerAnswer, Outcome, Renew, ViewUpdate,
+	Announcement, Command, LedgerOutcome, CommandOutcome, RenewRequest, ViewUpdate,
 } from '../../src/generated/types.js';
-import {View} from '../../src/entry/view.js';
+import {ResourceView} from '../../src/entry/view.js';
 import type {EngineProcess, PlainServerProcess} from './backend.js';
 import type {InvariantChecker, BookingOutcome} from './invariants.js';
 import type {ControlProcess, ReplyCallback} from './control.js';
@@ -39,7 +39,7 @@
 export class EntryProcess {
 	readonly process: SimulatedProcess;
 	readonly host: string;
-	view: View;
+	view: ResourceView;
 	readonly #context: EntryContext;
 	readonly #announcements = new Map<string, Announcement>();
 	readonly #running = new Map<string, number>();
@@ -80,7 +80,7 @@
 
 	recordAnnouncement(announcement: Announcement): void {
 		const known = this.#announcements.get(announcement.server);
-		if (!known || isNewer(announcement, known)) {
+		if (!known || isNewerAnnouncement(announcement, known)) {
 			this.#announcements.set(announcement.server, announcement);
 		}
 	}
@@ -136,19 +136,19 @@
 	}
 
 	/** Proposes an idempotent command again and again until it gets an outcome or the deadline passes. */
-	propose(command: Command, deadlineMs: number, reply: (outcome: Outcome | undefined) => void): void {
-		this.#askControl<Outcome>(deadlineMs, (control, respond) => {
+	propose(command: Command, deadlineMs: number, reply: (outcome: CommandOutcome | undefined) => void): void {
+		this.#askControl<CommandOutcome>(deadlineMs, (control, respond) => {
 			control.propose(command, respond);
 		}, reply);
 	}
 
-	#createView(): View {
+	#createView(): ResourceView {
 		if (this.#context.mutation !== 'stale-view-applied') {
-			return new View();
+			return new ResourceView();
 		}
 
 		// Under this mutation the view also applies older updates.
-		const view = new View();
+		const view = new ResourceView();
 		const apply = view.apply.bind(view);
 		view.apply = update => update.version < view.version ? replaceView(view, update) : apply(update);
 		return view;
@@ -164,7 +164,7 @@
 	#readFirst(): void {
 		this.#askControl<ViewUpdate>(5000, (control, respond) => {
 			control.read(state => {
-				respond(Either.map((found: {updateSince: (from: number) => ViewUpdate}) => found.updateSince(-1))(state));
+				respond(Either.map((found: {createViewUpdate: (from: number) => ViewUpdate}) => found.createViewUpdate(-1))(state));
 			});
 		}, update => {
 			if (!update) {
@@ -181,8 +181,8 @@
 	#renew(): void {
 		const {simulator} = this.#context;
 		const askedMs = simulator.nowMs;
-		const servers = this.view.listChanging();
-		const message: Renew = {
+		const servers = this.view.listChangingServers();
+		const message: RenewRequest = {
 			type: 'renew',
 			id: 1,
 			host: this.host,
@@ -222,7 +222,7 @@
 			type: 'claim', at: Math.floor(simulator.nowMs), key, fingerprint: key, attempt, host: this.host,
 		};
 		this.propose(command, CLAIM_DEADLINE_MS, outcome => {
-			const answer = outcome as LedgerAnswer | undefined;
+			const answer = outcome as LedgerOutcome | undefined;
 			if (!answer) {
 				this.#settle(key, attempt, {type: 'not-run'});
 				reply(attempt, {type: 'not-run'});
@@ -233,7 +233,7 @@
 		});
 	}
 
-	#onClaimAnswer(claim: {key: string; attempt: string; polls: number}, answer: LedgerAnswer, reply: (attempt: string, outcome: BookingOutcome) => void): void {
+	#onClaimAnswer(claim: {key: string; attempt: string; polls: number}, answer: LedgerOutcome, reply: (attempt: string, outcome: BookingOutcome) => void): void {
 		const {key, attempt, polls} = claim;
 		switch (answer.state) {
 			case 'granted': {
@@ -372,8 +372,8 @@
 }
 
 /** Replaces the content of a view with an older update, as if the update were complete and newer. */
-function replaceView(view: View, update: ViewUpdate): boolean {
-	const replacement = new View();
+function replaceView(view: ResourceView, update: ViewUpdate): boolean {
+	const replacement = new ResourceView();
 	replacement.apply({...update, from: -1});
 	Object.defineProperty(view, 'version', {get: () => replacement.version, configurable: true});
 	view.list = replacement.list.bind(replacement);
--- a/dev/fuzz/invariants.ts
+++ b/dev/fuzz/invariants.ts
@@ -6,9 +6,9 @@
 import {createHash} from 'node:crypto';
 import {ControlState} from '../../src/control/state.js';
 import type {
-	Command, Configuration, Entry, Outcome, Resource, Snapshot,
+	Command, Configuration, Entry, CommandOutcome, Resource, Snapshot,
 } from '../../src/generated/types.js';
-import {decodeValue} from '../../src/wire/frame.js';
+import {decodeCbor} from '../../src/wire/frame.js';
 import type {ControlProcess} from './control.js';
 import type {Mutation} from './mutations.js';
 
@@ -165,7 +165,7 @@
 	}
 
 	/** Records the outcome of a put that an operator received. */
-	recordPut(requestId: string, name: string, seen: number, outcome: Outcome): void {
+	recordPut(requestId: string, name: string, seen: number, outcome: CommandOutcome): void {
 		const text = JSON.stringify(outcome);
 		const knownOutcome = this.#putOutcomes.get(requestId);
 		if (knownOutcome !== undefined && knownOutcome !== text) {
@@ -226,7 +226,7 @@
 			this.#pendingEntries.delete(entry.index);
 			this.#referenceIndex = entry.index;
 			if (entry.type === 'command') {
-				const command = decodeValue(entry.data) as Command;
+				const command = decodeCbor(entry.data) as Command;
 				const isEvaluatedAgain = this.#mutation === 'no-request-memory' && command.type === 'put';
 				this.referenceState.apply(isEvaluatedAgain ? {...command, requestId: `${command.requestId}@${entry.index}`} : command, entry.index);
 				this.#resourcesByVersion.set(this.referenceState.viewVersion, describeResources(this.referenceState.listResources()));
--- a/dev/fuzz/run.ts
+++ b/dev/fuzz/run.ts
@@ -9,7 +9,7 @@
 } from '../../src/base/random.js';
 import {DEFAULT_CONTROLLER_TIMING, type ControllerTiming} from '../../src/control/controller.js';
 import type {
-	Configuration, Member, Outcome, Specification,
+	Configuration, Member, CommandOutcome, Specification,
 } from '../../src/generated/types.js';
 import {EngineProcess, PlainServerProcess} from './backend.js';
 import {InvariantChecker} from './invariants.js';
@@ -415,7 +415,7 @@
 		}
 	}
 
-	#onPut(requestId: string, name: string, seen: number, outcome: Outcome | undefined): void {
+	#onPut(requestId: string, name: string, seen: number, outcome: CommandOutcome | undefined): void {
 		if (outcome) {
 			this.#checker.recordPut(requestId, name, seen, outcome);
 		}
@@ -644,7 +644,7 @@
 			return;
 		}
 
-		const open = referenceState.ledger.listOpen();
+		const open = referenceState.ledger.listOpenClaims();
 		if (open.length > 0) {
 			this.#checker.reportViolation(`claims still open after recovery: ${open.map(({key, attempt}) => `${key} ${attempt}`).join(', ')}`);
 		}
