--- a/bench/commits.ts
+++ b/bench/commits.ts
@@ -128,7 +128,7 @@
 			replica: member.replica,
 			persistentState: {...storage.right.persistentState, snapshot: {...EMPTY_SNAPSHOT, configuration}},
 			storage: storage.right,
-			stateMachine: createMachine(),
+			stateMachine: createStateMachine(),
 			clock: createClock(),
 			random: createRandom(member.port),
 			logger: createSilentLoggers()('consensus'),
@@ -148,7 +148,7 @@
 	}
 }
 
-function createMachine(): StateMachine {
+function createStateMachine(): StateMachine {
 	let state = new ControlState();
 	return {
 		apply: entry => state.apply(decodeCbor(entry.data) as Command, entry.index),
@@ -211,15 +211,15 @@
 		const startedMs = performance.now();
 		const storage = await Storage.open(folder, {onSynced: () => undefined, onWriteFailure: () => undefined});
 		if (Either.isRight(storage)) {
-			const machine = createMachine();
+			const stateMachine = createStateMachine();
 			const {snapshot, entries} = storage.right.persistentState;
 			if (snapshot.data.length > 0) {
-				machine.restore(snapshot.data);
+				stateMachine.restore(snapshot.data);
 			}
 
 			for (const entry of entries) {
 				if (entry.type === 'command') {
-					machine.apply(entry);
+					stateMachine.apply(entry);
 				}
 			}
 
--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -79,14 +79,14 @@
 
 	readonly #hosts = Array.from({length: ENTRY_HOSTS}, () => new LoadTracker());
 	readonly #hostOf = new Map<number, LoadTracker>();
-	readonly #meter = new DemandEstimator(5000, 0);
+	readonly #demandEstimator = new DemandEstimator(5000, 0);
 	#next = 0;
 	#host = this.#hosts[0]!;
 
 	readonly initialRole = (index: number): EngineRole => index % 2 === 0 ? 'prefill' : 'decode';
 
 	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): PolicyDecision {
-		recordDemand(this.#meter, request, nowMs);
+		recordDemand(this.#demandEstimator, request, nowMs);
 		this.#next++;
 		this.#host = this.#hosts[this.#next % this.#hosts.length]!;
 		const preferredRole = request.promptTokens > 1000 ? 'prefill' : 'decode';
@@ -120,7 +120,7 @@
 	}
 
 	changeRoles(engines: readonly SimulatedEngine[], nowMs: number): RoleChange[] {
-		const {prefill, decode} = this.#meter.current(nowMs);
+		const {prefill, decode} = this.#demandEstimator.current(nowMs);
 		const share = prefill / Math.max(0.01, prefill + decode);
 		const targetCount = Math.min(engines.length - 1, Math.max(1, Math.round(engines.length * share)));
 		const prefilling = engines.filter(engine => engine.role === 'prefill');
@@ -183,7 +183,7 @@
 	readonly #hosts: EntryHost[] = [];
 	readonly #hostOf = new Map<number, EntryHost>();
 	readonly #placedBy = new Map<TraceRequest, EntryHost>();
-	readonly #meter = new DemandEstimator(DEMAND_WINDOW_MS, 0);
+	readonly #demandEstimator = new DemandEstimator(DEMAND_WINDOW_MS, 0);
 	readonly #choice: ChoiceOptions;
 	#lastChangeMs = 0;
 	#next = 0;
@@ -208,7 +208,7 @@
 	readonly initialRole = (index: number): EngineRole => this.#features.roles ? (index % 2 === 0 ? 'prefill' : 'decode') : 'mixed';
 
 	place(request: TraceRequest, usable: readonly SimulatedEngine[], nowMs: number): PolicyDecision {
-		recordDemand(this.#meter, request, nowMs);
+		recordDemand(this.#demandEstimator, request, nowMs);
 		this.#next++;
 		this.#host = this.#hosts[this.#next % this.#hosts.length]!;
 		const description = this.#describeRequest(request);
@@ -296,7 +296,7 @@
 	}
 
 	#measureDemand(nowMs: number): Demand {
-		return this.#meter.current(nowMs);
+		return this.#demandEstimator.current(nowMs);
 	}
 
 	#describeRequest(request: TraceRequest) {
@@ -316,20 +316,20 @@
 	}
 
 	/** Returns how many of the request's prefix blocks the engine is expected to have cached. */
-	#expectCachedBlocks(engine: SimulatedEngine, request: TraceRequest, isHome = false): number {
-		return this.#host.prefixes.estimateCached(engine.name, listPrefixBlocks(request), isHome);
+	#expectCachedBlocks(engine: SimulatedEngine, request: TraceRequest, isPrefixOwner = false): number {
+		return this.#host.prefixes.estimateCached(engine.name, listPrefixBlocks(request), isPrefixOwner);
 	}
 
 	#createCandidate(engine: SimulatedEngine, engines: readonly SimulatedEngine[], request: TraceRequest): Candidate {
-		const isHome = this.#isPrefixOwner(engine, engines, request);
+		const isPrefixOwner = this.#isPrefixOwner(engine, engines, request);
 		return {
 			server: engine.name,
 			role: engine.role,
 			dataCentre: 'a',
 			load: this.#host.loads.estimate(engine.name),
 			speed: ENGINE_SPEED,
-			cachedTokens: this.#expectCachedBlocks(engine, request, isHome) * 64,
-			isPrefixOwner: isHome,
+			cachedTokens: this.#expectCachedBlocks(engine, request, isPrefixOwner) * 64,
+			isPrefixOwner,
 			maxRunning: engine.role === 'decode' ? DECODE_MAX_RUNNING : PREFILL_MAX_RUNNING,
 			kvTokens: KV_CACHE_TOKENS,
 		};
@@ -348,9 +348,9 @@
 	return Array.from({length: Math.floor(request.prefixTokens / 64)}, (_, index) => (request.prefix * 10_000) + index);
 }
 
-function recordDemand(meter: DemandEstimator, request: TraceRequest, nowMs: number): void {
+function recordDemand(estimator: DemandEstimator, request: TraceRequest, nowMs: number): void {
 	const {prefillMs, decodeMs} = estimateEngineTime(request, ENGINE_SPEED);
-	meter.record(prefillMs, decodeMs, nowMs);
+	estimator.record(prefillMs, decodeMs, nowMs);
 }
 
 /** Wraps the choice of one engine for the whole request as a placement. */
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -75,13 +75,13 @@
 measureSlope('leader microseconds per renewal of a view lease', [50, 100, 200, 380], count => {
 	const controller = new Controller(0);
 	const state = createState(1200);
-	const frames = Array.from({length: count}, (_, index) => encodeFrame(createRenewal(index, state.viewVersion)).subarray(4));
+	const frames = Array.from({length: count}, (_, index) => encodeFrame(createRenewRequest(index, state.viewVersion)).subarray(4));
 	return measureCpu(() => {
 		for (const frame of frames) {
 			const message = decodeCbor(frame) as RenewRequest;
 			validate('Message', message);
 			const leaseMs = controller.renewViewLease(message, 1);
-			encodeFrame(createRenewed(leaseMs, state.createViewUpdate(message.version)));
+			encodeFrame(createRenewReply(leaseMs, state.createViewUpdate(message.version)));
 		}
 	}, 30);
 });
@@ -90,7 +90,7 @@
 	const state = createState(10);
 	let bytes = 0;
 	for (let index = 0; index < count; index++) {
-		bytes += encodeFrame(createRenewal(index, state.viewVersion)).length + encodeFrame(createRenewed(1500, state.createViewUpdate(state.viewVersion))).length;
+		bytes += encodeFrame(createRenewRequest(index, state.viewVersion)).length + encodeFrame(createRenewReply(1500, state.createViewUpdate(state.viewVersion))).length;
 	}
 
 	return bytes;
@@ -100,7 +100,7 @@
 	const state = createState(1200);
 	return measureCpu(() => {
 		for (let host = 0; host < count; host++) {
-			encodeFrame(createRenewed(0, state.createViewUpdate(state.viewVersion - 1)));
+			encodeFrame(createRenewReply(0, state.createViewUpdate(state.viewVersion - 1)));
 		}
 	}, 30);
 });
@@ -347,13 +347,13 @@
 	] as const satisfies readonly Command[];
 }
 
-function createRenewal(index: number, version: number): RenewRequest {
+function createRenewRequest(index: number, version: number): RenewRequest {
 	return {
 		type: 'renew', id: 12_345, host: `host-${index}`, boot: '5d1f8f0e-9f6c-4f5e-b0b6-1f2e3d4c5b6a', version, running: [], announcements: [], demand: Array.from({length: 13}, (_, model) => ({model: `model-${model}`, prefill: 1.25, decode: 3.5})), leaving: false,
 	};
 }
 
-function createRenewed(leaseMs: number, view: ReturnType<ControlState['createViewUpdate']>): Message {
+function createRenewReply(leaseMs: number, view: ReturnType<ControlState['createViewUpdate']>): Message {
 	const members = Array.from({length: 5}, (_, index) => ({
 		replica: `5d1f8f0e-9f6c-4f5e-b0b6-1f2e3d4c5b6${index}`, host: `host-${index}`, address: '10.20.1.1', port: 7400,
 	}));
--- a/dev/fuzz/control.ts
+++ b/dev/fuzz/control.ts
@@ -20,7 +20,7 @@
 import {decodeCbor, encodeCbor} from '../../src/wire/frame.js';
 import type {EngineProcess} from './backend.js';
 import type {InvariantChecker} from './invariants.js';
-import {createConsensusMechanisms, createOrderMechanisms, type Mutation} from './mutations.js';
+import {createConsensusSafeguards, createOrderSafeguards, type Mutation} from './mutations.js';
 import type {SimulatedProcess, Simulator} from './simulator.js';
 
 export type ReplyCallback<Result> = (result: Either.Either<'not-leader' | 'unknown', Result>) => void;
@@ -169,7 +169,7 @@
 	}
 
 	beginReconfiguration(reconfiguration: Reconfiguration): boolean {
-		if (!this.replica?.isLeaderReady || Either.isLeft(validateReconfiguration(reconfiguration, this.#membersView(), this.reconfiguration))) {
+		if (!this.replica?.isLeaderReady || Either.isLeft(validateReconfiguration(reconfiguration, this.#getConfigurationStatus(), this.reconfiguration))) {
 			return false;
 		}
 
@@ -194,7 +194,7 @@
 			entries: this.#persistentState.entries,
 			nowMs: simulator.nowMs,
 			random: createRandom(Math.floor(simulator.random() * 1e9)),
-			safeguards: createConsensusMechanisms(mutation),
+			safeguards: createConsensusSafeguards(mutation),
 			maxEntriesPerAppend: this.#context.maxEntriesPerAppend,
 		});
 		const tick = () => {
@@ -233,7 +233,7 @@
 	#tickController(): void {
 		const replica = this.replica!;
 		if (this.controller && replica.isLeaderReady) {
-			for (const effect of this.controller.tick(this.state, this.#leaderLease())) {
+			for (const effect of this.controller.tick(this.state, this.#getLeaderLease())) {
 				this.#executeControllerEffect(effect);
 			}
 
@@ -242,25 +242,25 @@
 	}
 
 	#tickReconfiguration(): void {
-		const view = this.#membersView();
+		const status = this.#getConfigurationStatus();
 		if (!this.reconfiguration) {
 			return;
 		}
 
-		if (isReconfigurationComplete(this.reconfiguration, view)) {
+		if (isReconfigurationComplete(this.reconfiguration, status)) {
 			this.#context.simulator.log(`${this.host} finished the reconfiguration`);
 			this.reconfiguration = undefined;
 			return;
 		}
 
-		const next = planNextConfiguration(this.reconfiguration, view);
+		const next = planNextConfiguration(this.reconfiguration, status);
 		if (next) {
 			const configuration = this.#context.mutation === 'swap-in-one-step' ? {...next, outgoing: []} : next;
 			this.#execute(this.replica!.step({type: 'propose-configuration', configuration}, this.#context.simulator.nowMs));
 		}
 	}
 
-	#membersView(): ConfigurationStatus {
+	#getConfigurationStatus(): ConfigurationStatus {
 		const {nowMs} = this.#context.simulator;
 		const replica = this.replica!;
 		return {
@@ -271,7 +271,7 @@
 		};
 	}
 
-	#leaderLease() {
+	#getLeaderLease() {
 		const {nowMs} = this.#context.simulator;
 		return {nowMs, wallMs: Math.floor(nowMs), leaseUntilMs: this.replica!.getLeaseExpiryMs(nowMs)};
 	}
@@ -336,7 +336,7 @@
 		}
 
 		if (this.controller && this.replica?.isLeaderReady) {
-			for (const effect of this.controller.handleReport(report, this.#leaderLease())) {
+			for (const effect of this.controller.handleReport(report, this.#getLeaderLease())) {
 				this.#executeControllerEffect(effect);
 			}
 		}
@@ -389,7 +389,7 @@
 				}
 
 				this.#subscribers.clear();
-				this.controller = effect.role === 'leader' ? new Controller(simulator.nowMs, this.#context.timing, createOrderMechanisms(mutation)) : undefined;
+				this.controller = effect.role === 'leader' ? new Controller(simulator.nowMs, this.#context.timing, createOrderSafeguards(mutation)) : undefined;
 				this.reconfiguration = effect.role === 'leader' ? this.reconfiguration : undefined;
 				break;
 			}
--- a/dev/fuzz/entry.ts
+++ b/dev/fuzz/entry.ts
@@ -55,7 +55,7 @@
 		this.#context = context;
 		this.host = host;
 		this.process = context.simulator.addProcess(host);
-		this.view = this.#createView();
+		this.view = this.#createResourceView();
 		this.#start();
 	}
 
@@ -70,7 +70,7 @@
 	restart(): void {
 		if (!this.process.isAlive) {
 			this.process.isAlive = true;
-			this.view = this.#createView();
+			this.view = this.#createResourceView();
 			this.#hasInitialView = false;
 			this.#leaseUntilMs = 0;
 			this.#running.clear();
@@ -142,7 +142,7 @@
 		}, reply);
 	}
 
-	#createView(): ResourceView {
+	#createResourceView(): ResourceView {
 		if (this.#context.mutation !== 'stale-view-applied') {
 			return new ResourceView();
 		}
@@ -158,17 +158,18 @@
 		this.#starts++;
 		this.#boot = `${this.host}#${this.#starts}`;
 		this.#nextAttempt = 1;
-		this.#readFirst();
+		this.#readInitialView();
 	}
 
-	#readFirst(): void {
+	/** Reads the first resource view from a control host, then starts to renew the view lease. */
+	#readInitialView(): void {
 		this.#askControl<ViewUpdate>(5000, (control, respond) => {
 			control.read(state => {
 				respond(Either.map((found: {createViewUpdate: (from: number) => ViewUpdate}) => found.createViewUpdate(-1))(state));
 			});
 		}, update => {
 			if (!update) {
-				this.#readFirst();
+				this.#readInitialView();
 				return;
 			}
 
@@ -216,26 +217,27 @@
 		}
 	}
 
+	/** Claims the idempotency key in the ledger. */
 	#claim(key: string, {attempt, polls}: {attempt: string; polls: number}, reply: (attempt: string, outcome: BookingOutcome) => void): void {
 		const {simulator} = this.#context;
 		const command: Command = {
 			type: 'claim', at: Math.floor(simulator.nowMs), key, fingerprint: key, attempt, host: this.host,
 		};
 		this.propose(command, CLAIM_DEADLINE_MS, outcome => {
-			const answer = outcome as LedgerOutcome | undefined;
-			if (!answer) {
+			const claimOutcome = outcome as LedgerOutcome | undefined;
+			if (!claimOutcome) {
 				this.#settle(key, attempt, {type: 'not-run'});
 				reply(attempt, {type: 'not-run'});
 				return;
 			}
 
-			this.#onClaimAnswer({key, attempt, polls}, answer, reply);
+			this.#onClaimOutcome({key, attempt, polls}, claimOutcome, reply);
 		});
 	}
 
-	#onClaimAnswer(claim: {key: string; attempt: string; polls: number}, answer: LedgerOutcome, reply: (attempt: string, outcome: BookingOutcome) => void): void {
+	#onClaimOutcome(claim: {key: string; attempt: string; polls: number}, claimOutcome: LedgerOutcome, reply: (attempt: string, outcome: BookingOutcome) => void): void {
 		const {key, attempt, polls} = claim;
-		switch (answer.state) {
+		switch (claimOutcome.state) {
 			case 'granted': {
 				this.#sendBooking(key, attempt, outcome => {
 					reply(attempt, outcome);
@@ -257,7 +259,7 @@
 			}
 
 			case 'done': {
-				reply(attempt, {type: 'done', booking: new TextDecoder().decode(answer.answer?.body)});
+				reply(attempt, {type: 'done', booking: new TextDecoder().decode(claimOutcome.answer?.body)});
 				break;
 			}
 
@@ -265,12 +267,13 @@
 			case 'unknown':
 			case 'reused': {
 				this.#settle(key, attempt, {type: 'not-run'});
-				reply(attempt, {type: answer.state === 'not-run' ? 'not-run' : 'unknown'});
+				reply(attempt, {type: claimOutcome.state === 'not-run' ? 'not-run' : 'unknown'});
 				break;
 			}
 		}
 	}
 
+	/** Sends the booking to a plain server once, and settles the claim with its outcome. */
 	#sendBooking(key: string, attempt: string, reply: (outcome: BookingOutcome) => void): void {
 		const {simulator, plainServers, mutation} = this.#context;
 		let isSettled = false;
@@ -310,8 +313,9 @@
 		});
 	}
 
+	/** Records the outcome of an attempt in the ledger. */
 	#settle(key: string, attempt: string, outcome: BookingOutcome, reply: () => void = () => undefined): void {
-		const answer = outcome.type === 'done' ? {answer: {status: 200, contentType: 'text/plain', body: new TextEncoder().encode(outcome.booking)}} : {};
+		const storedResponse = outcome.type === 'done' ? {answer: {status: 200, contentType: 'text/plain', body: new TextEncoder().encode(outcome.booking)}} : {};
 		let isReplied = false;
 		const once = () => {
 			if (!isReplied) {
@@ -321,7 +325,7 @@
 		};
 
 		this.propose({
-			type: 'settle', at: Math.floor(this.#context.simulator.nowMs), key, attempt, outcome: outcome.type, ...answer,
+			type: 'settle', at: Math.floor(this.#context.simulator.nowMs), key, attempt, outcome: outcome.type, ...storedResponse,
 		}, SETTLE_DEADLINE_MS, once);
 		// The caller waits for the ledger for a limited time only.
 		this.#context.simulator.scheduleOn(this.process, 2000, once);
--- a/dev/fuzz/mutations.ts
+++ b/dev/fuzz/mutations.ts
@@ -28,14 +28,14 @@
 export type Mutation = keyof typeof MUTATIONS;
 
 /**
- * Returns the consensus mechanisms under a mutation.
+ * Returns the safeguards of the consensus replicas, without the one that the mutation disables.
  *
  * @example
  * ```ts
- * createConsensusMechanisms('vote-not-kept').persistHardState; // false
+ * createConsensusSafeguards('vote-not-kept').persistHardState; // false
  * ```
  */
-export function createConsensusMechanisms(mutation: Mutation | undefined): Safeguards {
+export function createConsensusSafeguards(mutation: Mutation | undefined): Safeguards {
 	return {
 		...ALL_SAFEGUARDS,
 		syncBeforeReply: mutation !== 'no-sync-before-reply',
@@ -50,14 +50,14 @@
 }
 
 /**
- * Returns the order mechanisms under a mutation.
+ * Returns the safeguards of orders to backend servers, without the one that the mutation disables.
  *
  * @example
  * ```ts
- * createOrderMechanisms('no-read-back').readBack; // false
+ * createOrderSafeguards('no-read-back').queryBeforeResend; // false
  * ```
  */
-export function createOrderMechanisms(mutation: Mutation | undefined): OrderSafeguards {
+export function createOrderSafeguards(mutation: Mutation | undefined): OrderSafeguards {
 	return {
 		...ALL_ORDER_SAFEGUARDS,
 		awaitLeaseExpiry: mutation !== 'no-lease-wait-out',
