--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -137,7 +137,7 @@
 	}
 }
 
-/** Features of our policy that can be switched off, to measure what each contributes. */
+/** Features of our policy that can be switched on or off, to measure what each contributes. */
 export type Features = {
 	/** Lowers the cost of engines that have the request's prefix cached; off by default, as in the daemon. */
 	readonly prefix: boolean;
