--- a/src/routing/admission.ts
+++ b/src/routing/admission.ts
@@ -22,19 +22,19 @@
 	= | {readonly type: 'start'; readonly id: string}
 		| {readonly type: 'refuse'; readonly id: string; readonly reason: 'capacity' | 'team'; readonly retryAfterSeconds: number};
 
-type Waiting = AdmissionRequest & {readonly finishTag: number};
+type QueuedRequest = AdmissionRequest & {readonly finishTag: number};
 
 /** Decides which requests run. A step machine: time is handed in. */
 export class AdmissionController {
 	readonly #running = new Map<string, AdmissionRequest>();
 	readonly #teamTokens = new Map<string, number>();
-	readonly #teamTags = new Map<string, number>();
-	#waiting: Waiting[] = [];
+	readonly #teamFinishTags = new Map<string, number>();
+	#waiting: QueuedRequest[] = [];
 	#runningTokens = 0;
 	#virtualTime = 0;
 	/** Tokens finished in the last seconds, as a rate. */
 	#tokensPerMs = 0;
-	#rateAtMs = 0;
+	#rateUpdatedMs = 0;
 
 	get waitingCount(): number {
 		return this.#waiting.length;
@@ -59,9 +59,9 @@
 			}];
 		}
 
-		const start = Math.max(this.#virtualTime, this.#teamTags.get(request.team) ?? 0);
+		const start = Math.max(this.#virtualTime, this.#teamFinishTags.get(request.team) ?? 0);
 		const finishTag = start + (request.tokens / request.weight);
-		this.#teamTags.set(request.team, finishTag);
+		this.#teamFinishTags.set(request.team, finishTag);
 		this.#waiting.push({...request, finishTag});
 		return this.dispatch(capacityTokens, nowMs);
 	}
@@ -77,34 +77,34 @@
 		this.#running.delete(id);
 		this.#runningTokens -= request.tokens;
 		this.#addTeamTokens(request.team, -request.tokens);
-		this.#noteRate(request.tokens, nowMs);
+		this.#updateRate(request.tokens, nowMs);
 		return this.dispatch(capacityTokens, nowMs);
 	}
 
 	/** Starts what fits and refuses what has waited too long. */
 	dispatch(capacityTokens: number, nowMs: number): AdmissionEvent[] {
 		const events: AdmissionEvent[] = [];
-		for (const late of this.#waiting.filter(waiting => waiting.latestStartMs < nowMs)) {
+		for (const expired of this.#waiting.filter(waiting => waiting.latestStartMs < nowMs)) {
 			events.push({
-				type: 'refuse', id: late.id, reason: 'capacity', retryAfterSeconds: 1,
+				type: 'refuse', id: expired.id, reason: 'capacity', retryAfterSeconds: 1,
 			});
 		}
 
 		this.#waiting = this.#waiting.filter(waiting => waiting.latestStartMs >= nowMs);
 		this.#waiting.sort((a, b) => a.finishTag - b.finishTag);
-		const kept: Waiting[] = [];
+		const stillWaiting: QueuedRequest[] = [];
 		for (const waiting of this.#waiting) {
 			if (this.#fits(waiting, capacityTokens)) {
 				this.#start(waiting);
 				events.push({type: 'start', id: waiting.id});
 			} else {
-				kept.push(waiting);
+				stillWaiting.push(waiting);
 			}
 		}
 
-		this.#waiting = kept;
-		if (this.#running.size === 0 && kept.length === 0) {
-			this.#teamTags.clear();
+		this.#waiting = stillWaiting;
+		if (this.#running.size === 0 && stillWaiting.length === 0) {
+			this.#teamFinishTags.clear();
 			this.#virtualTime = 0;
 		}
 
@@ -117,7 +117,7 @@
 		return fitsFleet && team + request.tokens <= request.teamTokenLimit;
 	}
 
-	#start(waiting: Waiting): void {
+	#start(waiting: QueuedRequest): void {
 		this.#running.set(waiting.id, waiting);
 		this.#runningTokens += waiting.tokens;
 		this.#addTeamTokens(waiting.team, waiting.tokens);
@@ -139,17 +139,17 @@
 		return excess > 0 && this.#tokensPerMs > 0 ? excess / this.#tokensPerMs : 0;
 	}
 
-	#noteRate(tokens: number, nowMs: number): void {
-		const elapsedMs = Math.max(1, nowMs - this.#rateAtMs);
-		const keep = Math.exp(-elapsedMs / 5000);
-		this.#tokensPerMs = (this.#tokensPerMs * keep) + (tokens / 5000);
-		this.#rateAtMs = nowMs;
+	#updateRate(tokens: number, nowMs: number): void {
+		const elapsedMs = Math.max(1, nowMs - this.#rateUpdatedMs);
+		const decay = Math.exp(-elapsedMs / 5000);
+		this.#tokensPerMs = (this.#tokensPerMs * decay) + (tokens / 5000);
+		this.#rateUpdatedMs = nowMs;
 	}
 }
 
-const SHRINK_FACTOR = 0.9;
-const GROW_STEP = 0.01;
-const SMALLEST_MARGIN = 0.1;
+const DECREASE_FACTOR = 0.9;
+const INCREASE_STEP = 0.01;
+const MIN_SHARE = 0.1;
 
 /**
  * How much of a target may be promised: falls fast when admitted work comes late, and rises slowly while it is on
@@ -165,7 +165,7 @@
 
 	record(isOnTime: boolean): void {
 		this.#share = isOnTime
-			? Math.min(1, this.#share + GROW_STEP)
-			: Math.max(SMALLEST_MARGIN, this.#share * SHRINK_FACTOR);
+			? Math.min(1, this.#share + INCREASE_STEP)
+			: Math.max(MIN_SHARE, this.#share * DECREASE_FACTOR);
 	}
 }
--- a/src/routing/budget.ts
+++ b/src/routing/budget.ts
@@ -15,15 +15,15 @@
 /** Part of the budget that is given out; the rest covers windows that are cut differently. */
 const SAFE_SHARE = 0.5;
 
-type Window = {
+type SlidingWindow = {
 	readonly requests: number[];
-	readonly repeats: number[];
+	readonly retries: number[];
 };
 
 /** Counts requests and repeats by service. A step machine: time is handed in. */
 export class ServiceRetryBudget {
 	#limits: RetryBudgetLimits;
-	readonly #services = new Map<string, Window>();
+	readonly #services = new Map<string, SlidingWindow>();
 	#hosts = 1;
 
 	constructor(limits: RetryBudgetLimits) {
@@ -41,32 +41,32 @@
 	}
 
 	recordRequest(service: string, nowMs: number): void {
-		this.#windowOf(service, nowMs).requests.push(nowMs);
+		this.#getWindow(service, nowMs).requests.push(nowMs);
 	}
 
 	/** Takes one repeat if the budget allows it. */
 	tryAcquire(service: string, nowMs: number): boolean {
-		const {requests, repeats} = this.#windowOf(service, nowMs);
+		const {requests, retries} = this.#getWindow(service, nowMs);
 		const {ratio, allowance} = this.#limits;
 		const limit = ((requests.length * ratio) + (allowance / this.#hosts)) * SAFE_SHARE;
-		if (repeats.length + 1 > limit) {
+		if (retries.length + 1 > limit) {
 			return false;
 		}
 
-		repeats.push(nowMs);
+		retries.push(nowMs);
 		return true;
 	}
 
-	#windowOf(service: string, nowMs: number): Window {
+	#getWindow(service: string, nowMs: number): SlidingWindow {
 		let window = this.#services.get(service);
 		if (!window) {
-			window = {requests: [], repeats: []};
+			window = {requests: [], retries: []};
 			this.#services.set(service, window);
 		}
 
-		const fromMs = nowMs - this.#limits.windowMs;
-		for (const times of [window.requests, window.repeats]) {
-			while (times.length > 0 && times[0]! <= fromMs) {
+		const startMs = nowMs - this.#limits.windowMs;
+		for (const times of [window.requests, window.retries]) {
+			while (times.length > 0 && times[0]! <= startMs) {
 				times.shift();
 			}
 		}
--- a/src/routing/choice.ts
+++ b/src/routing/choice.ts
@@ -134,14 +134,14 @@
 	const crossDataCentreMs = candidate.dataCentre === shape.dataCentre ? 0 : options.crossDataCentreMs;
 	const queueMs = (queued * QUEUE_PENALTY_MS) + (kvOverflow / speed.prefillTokensPerMs);
 	const firstTokenMs = prefillMs + queueMs + betweenTokensMs + crossDataCentreMs;
-	const roleMs = options.respectRoles ? rolePenalty(size, candidate.role) : 0;
+	const rolePenaltyMs = options.respectRoles ? estimateRolePenaltyMs(size, candidate.role) : 0;
 	// A running batch is slowed by each prompt that joins it: that is a cost to others.
-	const disturbanceMs = candidate.role === ENGINE_ROLES.decode ? size.prefillTokens / speed.prefillTokensPerMs : 0;
+	const interferenceMs = candidate.role === ENGINE_ROLES.decode ? size.prefillTokens / speed.prefillTokensPerMs : 0;
 	return {
 		server: candidate.server,
 		firstTokenMs,
 		betweenTokensMs,
-		totalMs: firstTokenMs + (shape.outputTokens * betweenTokensMs) + roleMs + disturbanceMs,
+		totalMs: firstTokenMs + (shape.outputTokens * betweenTokensMs) + rolePenaltyMs + interferenceMs,
 	};
 }
 
@@ -157,7 +157,7 @@
 	return shape.promptTokens > shape.outputTokens * PREFILL_RATIO;
 }
 
-function rolePenalty(size: WorkSize, role: EngineRole): number {
+function estimateRolePenaltyMs(size: WorkSize, role: EngineRole): number {
 	if (role === ENGINE_ROLES.mixed) {
 		return 0;
 	}
--- a/src/routing/engine.ts
+++ b/src/routing/engine.ts
@@ -33,26 +33,26 @@
 };
 
 /** Prompt tokens that an engine reads in a millisecond until it is measured, as the users state it. */
-const READ_TOKENS_PER_MS = 93;
+const PREFILL_TOKENS_PER_MS = 93;
 /** Cost of attention between a prompt's tokens, milliseconds for a million pairs, as the users' servers show it. */
-const READ_MS_PER_MILLION_PAIRS = 0.442;
+const ATTENTION_MS_PER_MILLION_PAIRS = 0.442;
 /** Prompt tokens that an engine reads in one step, as the users state it. */
 const CHUNK_TOKENS = 1024;
 /** An engine that makes tokens reads at half the speed, and a quarter as many tokens in one step. */
-const MIXED_READ_FACTOR = 2;
-const MIXED_CHUNK_FACTOR = 4;
+const DECODE_ENGINE_PREFILL_FACTOR = 2;
+const DECODE_ENGINE_CHUNK_FACTOR = 4;
 /** Time of one step beside what it reads, and what each thousand tokens of running requests add, as the users state it. */
 const STEP_MS = 3.29;
-const STEP_MS_PER_THOUSAND = 0.0262;
+const STEP_MS_PER_THOUSAND_TOKENS = 0.0262;
 /** Time from a prompt's arrival to its first token that keeps the engine from no other work, until it is measured. */
-const LATENCY_MS = 80;
+const INITIAL_OVERHEAD_MS = 80;
 /** Work below which the time that a prompt took tells more of the latency than of the speed, milliseconds. */
 const SMALL_WORK_MS = 40;
-const LATENCY_WEIGHT = 0.05;
+const OVERHEAD_WEIGHT = 0.05;
 /** Bounds of the measured slowness, and the weight of one measurement. */
-const SLOWEST = 6;
-const FASTEST = 0.7;
-const SLOWNESS_WEIGHT = 0.08;
+const MAX_SLOWDOWN = 6;
+const MIN_SLOWDOWN = 0.7;
+const SLOWDOWN_WEIGHT = 0.08;
 /** A sign of life counts against a suspicion from this long after it on: earlier ones were on their way, milliseconds. */
 const TRANSIT_MS = 30;
 /** Weight of one outcome in the share of requests that an engine fails. */
@@ -66,19 +66,19 @@
 export class EngineState {
 	info: EngineInfo;
 	readonly #cache = new KvCacheModel();
-	readonly #queue = new PrefillQueue();
+	readonly #prefillQueue = new PrefillQueue();
 	/** Parts that each prompt in the queue is to bring: nobody can fetch them yet. */
-	readonly #pending = new Map<string, ReadonlySet<string>>();
+	readonly #pendingParts = new Map<string, ReadonlySet<string>>();
 	readonly #running = new Map<string, Run>();
 	#contextTokens = 0;
-	#suspectedMs = Number.NEGATIVE_INFINITY;
+	#suspectedAtMs = Number.NEGATIVE_INFINITY;
 	#suspectedUntilMs = Number.NEGATIVE_INFINITY;
-	#failureShare = 0;
-	#outcomeMs = 0;
-	#progressMs = Number.NEGATIVE_INFINITY;
+	#failureRate = 0;
+	#lastOutcomeMs = 0;
+	#lastProgressMs = Number.NEGATIVE_INFINITY;
 	/** Measured reading time over the expected one. */
-	#slowness = 1;
-	#latencyMs = LATENCY_MS;
+	#slowdown = 1;
+	#overheadMs = INITIAL_OVERHEAD_MS;
 
 	constructor(info: EngineInfo) {
 		this.info = info;
@@ -95,7 +95,7 @@
 
 	/** Time to a prompt's first token beside what it waits and is read, milliseconds. */
 	get overheadMs(): number {
-		return this.#latencyMs;
+		return this.#overheadMs;
 	}
 
 	/** Time of one step with what runs here, milliseconds. */
@@ -104,31 +104,31 @@
 	}
 
 	/** Part of a step that the context of running requests takes with some tokens more, milliseconds. */
-	contextStepMs(moreTokens: number): number {
-		return (this.#contextTokens + moreTokens) / 1000 * STEP_MS_PER_THOUSAND;
+	contextStepMs(extraTokens: number): number {
+		return (this.#contextTokens + extraTokens) / 1000 * STEP_MS_PER_THOUSAND_TOKENS;
 	}
 
 	/** Share of its recent requests that it failed; what is long ago counts less. */
 	failureRate(nowMs: number): number {
-		return this.#failureShare * (0.5 ** ((nowMs - this.#outcomeMs) / FAILURE_HALF_LIFE_MS));
+		return this.#failureRate * (0.5 ** ((nowMs - this.#lastOutcomeMs) / FAILURE_HALF_LIFE_MS));
 	}
 
 	/** Leaves it out for a while, unless it shows a sign of life before. */
 	suspect(untilMs: number, nowMs: number): void {
-		this.#suspectedMs = nowMs;
+		this.#suspectedAtMs = nowMs;
 		this.#suspectedUntilMs = untilMs;
 	}
 
 	/** Notes how a request ended here. */
 	recordOutcome(isFailure: boolean, nowMs: number): void {
-		const share = this.failureRate(nowMs);
-		this.#failureShare = share + (((isFailure ? 1 : 0) - share) * FAILURE_WEIGHT);
-		this.#outcomeMs = nowMs;
+		const rate = this.failureRate(nowMs);
+		this.#failureRate = rate + (((isFailure ? 1 : 0) - rate) * FAILURE_WEIGHT);
+		this.#lastOutcomeMs = nowMs;
 	}
 
 	/** Whether it failed a moment ago and has shown no sign of life since, or has fallen silent with work in hand. */
 	isSuspected(nowMs: number): boolean {
-		const isAlive = this.#progressMs > this.#suspectedMs + TRANSIT_MS;
+		const isAlive = this.#lastProgressMs > this.#suspectedAtMs + TRANSIT_MS;
 		return (nowMs < this.#suspectedUntilMs && !isAlive) || this.#isSilent(nowMs);
 	}
 
@@ -146,34 +146,34 @@
 	/**
 	 * Time that it needs to read a prompt once it begins, milliseconds.
 	 *
-	 * @param cached - Leading tokens that it holds or is given.
+	 * @param cachedTokens - Leading tokens that it holds or is given.
 	 */
-	prefillMs({promptTokens}: Pick<RequestSize, 'promptTokens'>, cached: number): number {
-		const unread = Math.max(1, promptTokens - cached);
+	prefillMs({promptTokens}: Pick<RequestSize, 'promptTokens'>, cachedTokens: number): number {
+		const uncachedTokens = Math.max(1, promptTokens - cachedTokens);
 		if (this.info.role === ENGINE_ROLES.prefill) {
-			return estimatePrefillMs(unread, cached) * this.#slowness;
+			return estimatePrefillMs(uncachedTokens, cachedTokens) * this.#slowdown;
 		}
 
-		const steps = Math.ceil(unread / (CHUNK_TOKENS / MIXED_CHUNK_FACTOR));
-		return ((estimateWorkMs(unread, cached) * MIXED_READ_FACTOR) + (steps * this.stepMs)) * this.#slowness;
+		const steps = Math.ceil(uncachedTokens / (CHUNK_TOKENS / DECODE_ENGINE_CHUNK_FACTOR));
+		return ((estimateComputeMs(uncachedTokens, cachedTokens) * DECODE_ENGINE_PREFILL_FACTOR) + (steps * this.stepMs)) * this.#slowdown;
 	}
 
 	/** Time until it would begin to read a prompt of some urgency, milliseconds. */
 	waitMs(priority: number, nowMs: number): number {
-		return this.#queue.waitMs(priority, nowMs);
+		return this.#prefillQueue.waitMs(priority, nowMs);
 	}
 
 	/** Prompts that would wait behind one of some urgency. */
 	countLowerPriority(priority: number, nowMs: number): number {
-		return this.#queue.countLowerPriority(priority, nowMs);
+		return this.#prefillQueue.countLowerPriority(priority, nowMs);
 	}
 
 	/** Notes that it was given a prompt to read. */
-	startPrefill(id: string, flight: RequestSize, task: PrefillTask, nowMs: number): void {
-		this.#queue.add(id, task, nowMs);
-		const missing = flight.parts.filter(({key}) => !this.#cache.has(key)).map(({key}) => key);
-		this.#pending.set(id, new Set(missing));
-		this.#cache.record(flight.parts, this.info.kvTokens - this.#contextTokens);
+	startPrefill(id: string, size: RequestSize, task: PrefillTask, nowMs: number): void {
+		this.#prefillQueue.add(id, task, nowMs);
+		const missing = size.parts.filter(({key}) => !this.#cache.has(key)).map(({key}) => key);
+		this.#pendingParts.set(id, new Set(missing));
+		this.#cache.record(size.parts, this.info.kvTokens - this.#contextTokens);
 	}
 
 	/** Notes parts that it read on another placer's word. */
@@ -183,11 +183,11 @@
 
 	/** Notes that a prompt is read, and learns from how long it took. */
 	completePrefill(id: string, nowMs: number): void {
-		this.#progressMs = nowMs;
-		this.#pending.delete(id);
-		const report = this.#queue.complete(id, nowMs - this.#latencyMs);
+		this.#lastProgressMs = nowMs;
+		this.#pendingParts.delete(id);
+		const report = this.#prefillQueue.complete(id, nowMs - this.#overheadMs);
 		if (report) {
-			this.#learnSpeed(report);
+			this.#updateSpeed(report);
 		}
 	}
 
@@ -205,7 +205,7 @@
 
 	/** Notes the first event of a request. */
 	recordFirstEvent(id: string, nowMs: number): void {
-		this.#progressMs = nowMs;
+		this.#lastProgressMs = nowMs;
 		const run = this.#running.get(id);
 		if (run) {
 			run.dueMs = undefined;
@@ -213,15 +213,15 @@
 	}
 
 	endRequest(id: string, nowMs: number): void {
-		this.#queue.remove(id, nowMs);
-		this.#cache.remove(this.#pending.get(id) ?? []);
-		this.#pending.delete(id);
+		this.#prefillQueue.remove(id, nowMs);
+		this.#cache.remove(this.#pendingParts.get(id) ?? []);
+		this.#pendingParts.delete(id);
 		this.#contextTokens -= this.#running.get(id)?.tokens ?? 0;
 		this.#running.delete(id);
 	}
 
 	#isPending(key: string): boolean {
-		for (const keys of this.#pending.values()) {
+		for (const keys of this.#pendingParts.values()) {
 			if (keys.has(key)) {
 				return true;
 			}
@@ -230,23 +230,23 @@
 		return false;
 	}
 
-	#learnSpeed({busyMs, workMs, totalMs: tookMs, wasIdle: wasAlone}: PrefillReport): void {
+	#updateSpeed({busyMs, workMs, totalMs: tookMs, wasIdle: wasAlone}: PrefillReport): void {
 		if (workMs < SMALL_WORK_MS) {
-			const overheadMs = Math.max(0, tookMs + this.#latencyMs - workMs);
-			this.#latencyMs += wasAlone ? (overheadMs - this.#latencyMs) * LATENCY_WEIGHT : 0;
+			const overheadMs = Math.max(0, tookMs + this.#overheadMs - workMs);
+			this.#overheadMs += wasAlone ? (overheadMs - this.#overheadMs) * OVERHEAD_WEIGHT : 0;
 			return;
 		}
 
-		const measured = (busyMs / workMs) * this.#slowness;
-		this.#slowness += (Math.min(SLOWEST, Math.max(FASTEST, measured)) - this.#slowness) * SLOWNESS_WEIGHT;
+		const measured = (busyMs / workMs) * this.#slowdown;
+		this.#slowdown += (Math.min(MAX_SLOWDOWN, Math.max(MIN_SLOWDOWN, measured)) - this.#slowdown) * SLOWDOWN_WEIGHT;
 	}
 
 	#isSilent(nowMs: number): boolean {
-		if (nowMs - this.#progressMs < SILENCE_MS) {
+		if (nowMs - this.#lastProgressMs < SILENCE_MS) {
 			return false;
 		}
 
-		if (this.#queue.overdueMs(nowMs - this.#latencyMs) > SILENCE_MS) {
+		if (this.#prefillQueue.overdueMs(nowMs - this.#overheadMs) > SILENCE_MS) {
 			return true;
 		}
 
@@ -263,18 +263,18 @@
 /**
  * Estimates how long an engine of ordinary speed that only reads is busy with a prompt.
  *
- * @param unread - Tokens to read.
- * @param context - Tokens before them that it holds.
+ * @param uncachedTokens - Tokens to read.
+ * @param contextTokens - Tokens before them that it holds.
  * @example
  * ```ts
  * estimateReadMs(9300, 0); // 100 ms of reading, 19 ms of attention, 10 steps of 3.29 ms
  * ```
  */
-export function estimatePrefillMs(unread: number, context: number): number {
-	return estimateWorkMs(unread, context) + (Math.ceil(unread / CHUNK_TOKENS) * STEP_MS);
+export function estimatePrefillMs(uncachedTokens: number, contextTokens: number): number {
+	return estimateComputeMs(uncachedTokens, contextTokens) + (Math.ceil(uncachedTokens / CHUNK_TOKENS) * STEP_MS);
 }
 
-function estimateWorkMs(unread: number, context: number): number {
-	const pairs = unread * (context + (unread / 2));
-	return (unread / READ_TOKENS_PER_MS) + (pairs / 1_000_000 * READ_MS_PER_MILLION_PAIRS);
+function estimateComputeMs(uncachedTokens: number, contextTokens: number): number {
+	const pairs = uncachedTokens * (contextTokens + (uncachedTokens / 2));
+	return (uncachedTokens / PREFILL_TOKENS_PER_MS) + (pairs / 1_000_000 * ATTENTION_MS_PER_MILLION_PAIRS);
 }
--- a/src/routing/health.ts
+++ b/src/routing/health.ts
@@ -8,8 +8,8 @@
 	suspectedUntilMs: number;
 };
 
-const FIRST_SUSPICION_MS = 500;
-const LONGEST_SUSPICION_MS = 10_000;
+const INITIAL_SUSPICION_MS = 500;
+const MAX_SUSPICION_MS = 10_000;
 
 /** Suspicion of servers by one host's own experience. A step machine: time is handed in. */
 export class HealthTracker {
@@ -18,7 +18,7 @@
 	/** Notes that even a new connection to a server failed. */
 	recordFailure(server: string, nowMs: number): void {
 		const known = this.#servers.get(server) ?? {failures: 0, suspectedUntilMs: 0};
-		const durationMs = Math.min(LONGEST_SUSPICION_MS, FIRST_SUSPICION_MS * (2 ** known.failures));
+		const durationMs = Math.min(MAX_SUSPICION_MS, INITIAL_SUSPICION_MS * (2 ** known.failures));
 		this.#servers.set(server, {failures: known.failures + 1, suspectedUntilMs: nowMs + durationMs});
 	}
 
--- a/src/routing/load.ts
+++ b/src/routing/load.ts
@@ -30,7 +30,7 @@
 	readonly decodeTokens: number;
 };
 
-type Flight = {
+type InFlightRequest = {
 	readonly size: WorkSize;
 	readonly sentMs: number;
 	hasFirstToken: boolean;
@@ -39,7 +39,7 @@
 type EngineLoad = {
 	report: LoadReport;
 	reportMs: number;
-	readonly flights: Map<string, Flight>;
+	readonly inFlight: Map<string, InFlightRequest>;
 };
 
 const EMPTY_REPORT: LoadReport = {
@@ -57,31 +57,31 @@
 	}
 
 	recordReport(server: string, report: LoadReport, nowMs: number): void {
-		const engine = this.#engineOf(server);
+		const engine = this.#getEngine(server);
 		engine.report = report;
 		engine.reportMs = nowMs;
 	}
 
 	/** Notes a request that was sent. */
 	startRequest(server: string, id: string, size: WorkSize, nowMs: number): void {
-		this.#engineOf(server).flights.set(id, {size, sentMs: nowMs, hasFirstToken: false});
+		this.#getEngine(server).inFlight.set(id, {size, sentMs: nowMs, hasFirstToken: false});
 	}
 
 	/** Notes that a request's prefill is over. */
 	recordFirstToken(server: string, id: string): void {
-		const flight = this.#engines.get(server)?.flights.get(id);
-		if (flight) {
-			flight.hasFirstToken = true;
+		const request = this.#engines.get(server)?.inFlight.get(id);
+		if (request) {
+			request.hasFirstToken = true;
 		}
 	}
 
 	endRequest(server: string, id: string): void {
-		this.#engines.get(server)?.flights.delete(id);
+		this.#engines.get(server)?.inFlight.delete(id);
 	}
 
 	/** This host's own requests in flight at a server. */
 	countInFlight(server: string): number {
-		return this.#engines.get(server)?.flights.size ?? 0;
+		return this.#engines.get(server)?.inFlight.size ?? 0;
 	}
 
 	/** Estimates the load that a new request meets: the report, plus own requests that it cannot contain yet. */
@@ -92,26 +92,26 @@
 		}
 
 		const own = {requests: 0, prefillTokens: 0, decodeTokens: 0};
-		const unseen = {requests: 0, prefillTokens: 0, decodeTokens: 0};
-		for (const flight of engine.flights.values()) {
-			addFlight(own, flight);
-			if (flight.sentMs > engine.reportMs - this.#reportLagMs) {
-				addFlight(unseen, flight);
+		const unreported = {requests: 0, prefillTokens: 0, decodeTokens: 0};
+		for (const request of engine.inFlight.values()) {
+			addToEstimate(own, request);
+			if (request.sentMs > engine.reportMs - this.#reportLagMs) {
+				addToEstimate(unreported, request);
 			}
 		}
 
 		const {report} = engine;
 		return {
-			requests: Math.max(own.requests, report.running + report.waiting + unseen.requests),
-			prefillTokens: Math.max(own.prefillTokens, report.prefillTokens + unseen.prefillTokens),
-			decodeTokens: Math.max(own.decodeTokens, report.decodeTokens + unseen.decodeTokens),
+			requests: Math.max(own.requests, report.running + report.waiting + unreported.requests),
+			prefillTokens: Math.max(own.prefillTokens, report.prefillTokens + unreported.prefillTokens),
+			decodeTokens: Math.max(own.decodeTokens, report.decodeTokens + unreported.decodeTokens),
 		};
 	}
 
-	#engineOf(server: string): EngineLoad {
+	#getEngine(server: string): EngineLoad {
 		let engine = this.#engines.get(server);
 		if (!engine) {
-			engine = {report: EMPTY_REPORT, reportMs: Number.NEGATIVE_INFINITY, flights: new Map()};
+			engine = {report: EMPTY_REPORT, reportMs: Number.NEGATIVE_INFINITY, inFlight: new Map()};
 			this.#engines.set(server, engine);
 		}
 
@@ -119,8 +119,8 @@
 	}
 }
 
-function addFlight(sum: {requests: number; prefillTokens: number; decodeTokens: number}, flight: Flight): void {
+function addToEstimate(sum: {requests: number; prefillTokens: number; decodeTokens: number}, request: InFlightRequest): void {
 	sum.requests++;
-	sum.prefillTokens += flight.hasFirstToken ? 0 : flight.size.prefillTokens;
-	sum.decodeTokens += flight.size.promptTokens + flight.size.outputTokens;
+	sum.prefillTokens += request.hasFirstToken ? 0 : request.size.prefillTokens;
+	sum.decodeTokens += request.size.promptTokens + request.size.outputTokens;
 }
--- a/src/routing/planner.ts
+++ b/src/routing/planner.ts
@@ -13,11 +13,11 @@
 };
 
 /** Share of a pool that reads before its caches are warm: the first prompts are read whole, the answers are short. */
-const READER_SHARE = 0.6;
+const PREFILL_SHARE = 0.6;
 /** Smallest pool in which roles are told apart. */
-const SMALLEST_POOL = 3;
+const MIN_POOL_SIZE = 3;
 /** A wrong share must last this long: engines that restart are back within seconds, milliseconds. */
-const SETTLE_MS = 3000;
+const STABILIZATION_MS = 3000;
 
 export type PlanningContext = {
 	readonly nowMs: number;
@@ -27,7 +27,7 @@
 /** Plans role changes for the pools of a system. A step machine: time is handed in. */
 export class RolePlanner {
 	/** Since when each pool has had the wrong number of readers. */
-	readonly #wrongSinceMs = new Map<string, number>();
+	readonly #imbalancedSinceMs = new Map<string, number>();
 
 	/**
 	 * Plans the changes that bring every pool to its share of readers; none if it has them.
@@ -38,51 +38,51 @@
 	 * planner.plan(engines, {nowMs, isNew: true}); // [{server: 'e3', role: 'prefill', reason: '3 of 8 engines read, 5 should'}]
 	 * ```
 	 */
-	plan(engines: readonly EngineInfo[], when: PlanningContext): PoolRoleChange[] {
+	plan(engines: readonly EngineInfo[], context: PlanningContext): PoolRoleChange[] {
 		const pools = new Map<string, EngineInfo[]>();
 		for (const engine of engines) {
 			pools.set(engine.service, [...pools.get(engine.service) ?? [], engine]);
 		}
 
-		return [...pools].flatMap(([service, pool]) => this.#planPool(service, pool, when));
+		return [...pools].flatMap(([service, pool]) => this.#planPool(service, pool, context));
 	}
 
 	#planPool(service: string, pool: readonly EngineInfo[], {nowMs, isStartup}: PlanningContext): PoolRoleChange[] {
-		const readers = pool.filter(({role}) => role === ENGINE_ROLES.prefill);
-		const runners = pool.filter(({role}) => role === ENGINE_ROLES.decode);
-		const wanted = Math.min(pool.length - 1, Math.round(pool.length * READER_SHARE));
-		const excess = readers.length - wanted;
-		if (pool.length < SMALLEST_POOL || excess === 0) {
-			this.#wrongSinceMs.delete(service);
+		const prefillEngines = pool.filter(({role}) => role === ENGINE_ROLES.prefill);
+		const decodeEngines = pool.filter(({role}) => role === ENGINE_ROLES.decode);
+		const wanted = Math.min(pool.length - 1, Math.round(pool.length * PREFILL_SHARE));
+		const excess = prefillEngines.length - wanted;
+		if (pool.length < MIN_POOL_SIZE || excess === 0) {
+			this.#imbalancedSinceMs.delete(service);
 			return [];
 		}
 
-		const sinceMs = this.#wrongSinceMs.get(service) ?? nowMs;
-		this.#wrongSinceMs.set(service, sinceMs);
-		if (!isStartup && nowMs - sinceMs < SETTLE_MS) {
+		const sinceMs = this.#imbalancedSinceMs.get(service) ?? nowMs;
+		this.#imbalancedSinceMs.set(service, sinceMs);
+		if (!isStartup && nowMs - sinceMs < STABILIZATION_MS) {
 			return [];
 		}
 
-		this.#wrongSinceMs.delete(service);
-		const reason = `${readers.length} of ${pool.length} engines read, ${wanted} should`;
-		const changed = excess < 0 ? pickSpread(runners, -excess) : pickSpread(readers, excess);
+		this.#imbalancedSinceMs.delete(service);
+		const reason = `${prefillEngines.length} of ${pool.length} engines read, ${wanted} should`;
+		const changed = excess < 0 ? pickFromLargestDataCentres(decodeEngines, -excess) : pickFromLargestDataCentres(prefillEngines, excess);
 		const role = excess < 0 ? ENGINE_ROLES.prefill : ENGINE_ROLES.decode;
 		return changed.map(({server}) => ({server, role, reason}));
 	}
 }
 
 /** Picks engines from the data centres that have most of them. */
-function pickSpread(engines: readonly EngineInfo[], count: number): EngineInfo[] {
-	const left = [...engines].toSorted((a, b) => a.server.localeCompare(b.server));
+function pickFromLargestDataCentres(engines: readonly EngineInfo[], count: number): EngineInfo[] {
+	const remaining = [...engines].toSorted((a, b) => a.server.localeCompare(b.server));
 	const picked: EngineInfo[] = [];
-	while (picked.length < count && left.length > 1) {
+	while (picked.length < count && remaining.length > 1) {
 		const sizes = new Map<string, number>();
-		for (const {dataCentre} of left) {
+		for (const {dataCentre} of remaining) {
 			sizes.set(dataCentre, (sizes.get(dataCentre) ?? 0) + 1);
 		}
 
-		left.sort((a, b) => sizes.get(b.dataCentre)! - sizes.get(a.dataCentre)!);
-		picked.push(left.shift()!);
+		remaining.sort((a, b) => sizes.get(b.dataCentre)! - sizes.get(a.dataCentre)!);
+		picked.push(remaining.shift()!);
 	}
 
 	return picked;
--- a/src/routing/poison.ts
+++ b/src/routing/poison.ts
@@ -33,10 +33,10 @@
  * ```
  */
 export function classifyRequest({servers, acquitted = []}: CrashRecord): PoisonState {
-	const open = servers.filter(server => !acquitted.includes(server)).length;
-	if (open >= POISON_LIMIT || servers.length >= CRASH_LIMIT) {
+	const unresolved = servers.filter(server => !acquitted.includes(server)).length;
+	if (unresolved >= POISON_LIMIT || servers.length >= CRASH_LIMIT) {
 		return POISON_STATES.poisoned;
 	}
 
-	return open > 0 ? POISON_STATES.suspect : POISON_STATES.clear;
+	return unresolved > 0 ? POISON_STATES.suspect : POISON_STATES.clear;
 }
--- a/src/routing/prefill.ts
+++ b/src/routing/prefill.ts
@@ -18,16 +18,16 @@
 /** Transfer of a thousand tokens of KV cache between two engines, milliseconds. */
 const TRANSFER_MS_PER_THOUSAND = 0.7;
 /** A transfer to another data centre takes this many times as long. */
-const CROSSING_TRANSFER_FACTOR = 2;
+const CROSS_DATA_CENTRE_FACTOR = 2;
 /**
  * Share of the reading time of shared tokens that it costs others when an engine comes to hold them: they push out
  * parts that must then be read again.
  */
 const EVICTION_WEIGHT = 1;
 /** Shared tokens from which fetching them pays for its set-up. */
-const LEAST_FETCH_TOKENS = 512;
+const MIN_FETCH_TOKENS = 512;
 /** Time that a fetch of shared parts takes beside its tokens, milliseconds. */
-const FETCH_MS = 5;
+const FETCH_SETUP_MS = 5;
 
 /**
  * Plans how an engine reads a prompt.
@@ -39,22 +39,22 @@
  * ```
  */
 export function planPrefill(engine: EngineState, request: RequestSize, holders: readonly EngineState[]): PrefillPlan {
-	const own = engine.countCached(request.parts);
-	const evictionCostMs = estimatePrefillMs(Math.max(0, sharedTokens(request) - own), 0) * EVICTION_WEIGHT;
+	const cached = engine.countCached(request.parts);
+	const evictionCostMs = estimatePrefillMs(Math.max(0, countSharedTokens(request) - cached), 0) * EVICTION_WEIGHT;
 	let plan: PrefillPlan = {
-		workMs: engine.prefillMs(request, own), cachedTokens: own, evictionCostMs, source: undefined,
+		workMs: engine.prefillMs(request, cached), cachedTokens: cached, evictionCostMs, source: undefined,
 	};
 	for (const holder of holders) {
-		const held = holder === engine ? 0 : holder.countFetchable(request.parts);
-		if (held - own < LEAST_FETCH_TOKENS) {
+		const available = holder === engine ? 0 : holder.countFetchable(request.parts);
+		if (available - cached < MIN_FETCH_TOKENS) {
 			continue;
 		}
 
-		const fetchMs = FETCH_MS + estimateTransferMs({promptTokens: held - own}, holder.info.dataCentre, engine.info.dataCentre);
-		const workMs = engine.prefillMs(request, held) + fetchMs;
+		const fetchMs = FETCH_SETUP_MS + estimateTransferMs({promptTokens: available - cached}, holder.info.dataCentre, engine.info.dataCentre);
+		const workMs = engine.prefillMs(request, available) + fetchMs;
 		if (workMs < plan.workMs) {
 			plan = {
-				workMs, cachedTokens: held, evictionCostMs, source: holder.info.server,
+				workMs, cachedTokens: available, evictionCostMs, source: holder.info.server,
 			};
 		}
 	}
@@ -63,7 +63,7 @@
 }
 
 /** Tokens that other requests may share: all but the last part. */
-function sharedTokens({parts, promptTokens}: RequestSize): number {
+function countSharedTokens({parts, promptTokens}: RequestSize): number {
 	return Math.max(0, promptTokens - (parts.at(-1)?.tokens ?? promptTokens));
 }
 
@@ -76,6 +76,6 @@
  * ```
  */
 export function estimateTransferMs(request: Pick<RequestSize, 'promptTokens'>, from: string | undefined, to: string): number {
-	const factor = from === undefined || from === to ? 1 : CROSSING_TRANSFER_FACTOR;
+	const factor = from === undefined || from === to ? 1 : CROSS_DATA_CENTRE_FACTOR;
 	return (request.promptTokens / 1000) * TRANSFER_MS_PER_THOUSAND * factor;
 }
--- a/src/routing/prefix.ts
+++ b/src/routing/prefix.ts
@@ -20,7 +20,7 @@
 
 const MAX_SEEN_BLOCKS = 65_536;
 /** How fast trust follows what engines report. */
-const TRUST_WEIGHT = 0.05;
+const HIT_RATE_WEIGHT = 0.05;
 
 type ServerCache = {
 	/** Blocks in order of use, oldest first. */
@@ -28,7 +28,7 @@
 	sequence: number;
 	incarnation: number;
 	/** Share of the believed blocks that the engine's answers confirmed. */
-	trust: number;
+	hitRate: number;
 };
 
 /**
@@ -78,16 +78,16 @@
 	}
 
 	/** Number of leading blocks that may be expected at a server, by what its answers have confirmed so far. */
-	estimateCached(server: string, hashes: readonly number[], isHome: boolean): number {
-		const believed = isHome ? Math.max(this.countSeen(hashes), this.countCached(server, hashes)) : this.countCached(server, hashes);
-		return Math.round(believed * (this.#servers.get(server)?.trust ?? 1));
+	estimateCached(server: string, hashes: readonly number[], isPrefixOwner: boolean): number {
+		const expected = isPrefixOwner ? Math.max(this.countSeen(hashes), this.countCached(server, hashes)) : this.countCached(server, hashes);
+		return Math.round(expected * (this.#servers.get(server)?.hitRate ?? 1));
 	}
 
 	/** Takes what a server says it had cached, against what was believed. */
-	recordHits(server: string, believedBlocks: number, cachedBlocks: number): void {
-		if (believedBlocks > 0) {
-			const cache = this.#cacheOf(server);
-			cache.trust += (Math.min(1, cachedBlocks / believedBlocks) - cache.trust) * TRUST_WEIGHT;
+	recordHits(server: string, expectedBlocks: number, cachedBlocks: number): void {
+		if (expectedBlocks > 0) {
+			const cache = this.#getCache(server);
+			cache.hitRate += (Math.min(1, cachedBlocks / expectedBlocks) - cache.hitRate) * HIT_RATE_WEIGHT;
 		}
 	}
 
@@ -98,19 +98,19 @@
 			this.#seen.set(hash, true);
 		}
 
-		this.#trimTo(this.#seen, MAX_SEEN_BLOCKS);
-		const {blocks} = this.#cacheOf(server);
+		this.#evictTo(this.#seen, MAX_SEEN_BLOCKS);
+		const {blocks} = this.#getCache(server);
 		for (const hash of hashes) {
 			blocks.delete(hash);
 			blocks.set(hash, true);
 		}
 
-		this.#trimTo(blocks, this.#maxBlocks);
+		this.#evictTo(blocks, this.#maxBlocks);
 	}
 
 	/** Takes a cache event; after a gap or a restart what was believed is forgotten. */
 	applyEvent(server: string, event: CacheEvent): void {
-		const cache = this.#cacheOf(server);
+		const cache = this.#getCache(server);
 		if (event.incarnation < cache.incarnation || (event.incarnation === cache.incarnation && event.sequence <= cache.sequence)) {
 			return;
 		}
@@ -133,7 +133,7 @@
 		this.#servers.delete(server);
 	}
 
-	#trimTo(blocks: Map<number, true>, limit: number): void {
+	#evictTo(blocks: Map<number, true>, limit: number): void {
 		for (const hash of blocks.keys()) {
 			if (blocks.size <= limit) {
 				return;
@@ -143,11 +143,11 @@
 		}
 	}
 
-	#cacheOf(server: string): ServerCache {
+	#getCache(server: string): ServerCache {
 		let cache = this.#servers.get(server);
 		if (!cache) {
 			cache = {
-				blocks: new Map(), sequence: 0, incarnation: 0, trust: 1,
+				blocks: new Map(), sequence: 0, incarnation: 0, hitRate: 1,
 			};
 			this.#servers.set(server, cache);
 		}
--- a/src/routing/queue.ts
+++ b/src/routing/queue.ts
@@ -26,22 +26,22 @@
 	readonly wasIdle: boolean;
 };
 
-type Entry = PrefillTask & {
-	readonly givenMs: number;
+type QueuedPrompt = PrefillTask & {
+	readonly addedMs: number;
 	/** When it should be read, as expected at its arrival. */
 	readonly dueMs: number;
 	readonly wasIdle: boolean;
 	/** When the engine should be through with it; undefined while it waits. */
-	endMs: number | undefined;
+	expectedEndMs: number | undefined;
 };
 
 /** The queue of one engine. */
 export class PrefillQueue {
-	readonly #entries = new Map<string, Entry>();
+	readonly #entries = new Map<string, QueuedPrompt>();
 	/** When the engine is through with what it has begun. */
-	#freeMs = Number.NEGATIVE_INFINITY;
+	#idleAtMs = Number.NEGATIVE_INFINITY;
 	/** When the last prompt was reported read. */
-	#lastEndMs = Number.NEGATIVE_INFINITY;
+	#lastCompletedMs = Number.NEGATIVE_INFINITY;
 
 	get size(): number {
 		return this.#entries.size;
@@ -49,10 +49,10 @@
 
 	/** Time until a new prompt of some urgency would be begun, milliseconds. */
 	waitMs(priority: number, nowMs: number): number {
-		this.#advance(nowMs);
-		let sumMs = Math.max(0, this.#freeMs - nowMs);
+		this.#startDue(nowMs);
+		let sumMs = Math.max(0, this.#idleAtMs - nowMs);
 		for (const entry of this.#entries.values()) {
-			if (entry.endMs === undefined && entry.priority <= priority) {
+			if (entry.expectedEndMs === undefined && entry.priority <= priority) {
 				sumMs += entry.workMs;
 			}
 		}
@@ -62,10 +62,10 @@
 
 	/** Prompts that would wait behind a new one of some urgency. */
 	countLowerPriority(priority: number, nowMs: number): number {
-		this.#advance(nowMs);
+		this.#startDue(nowMs);
 		let count = 0;
 		for (const entry of this.#entries.values()) {
-			count += entry.endMs === undefined && entry.priority > priority ? 1 : 0;
+			count += entry.expectedEndMs === undefined && entry.priority > priority ? 1 : 0;
 		}
 
 		return count;
@@ -74,9 +74,9 @@
 	add(id: string, task: PrefillTask, nowMs: number): void {
 		const waitMs = this.waitMs(task.priority, nowMs);
 		this.#entries.set(id, {
-			...task, givenMs: nowMs, dueMs: nowMs + waitMs + task.workMs, wasIdle: waitMs === 0, endMs: undefined,
+			...task, addedMs: nowMs, dueMs: nowMs + waitMs + task.workMs, wasIdle: waitMs === 0, expectedEndMs: undefined,
 		});
-		this.#advance(nowMs);
+		this.#startDue(nowMs);
 	}
 
 	/**
@@ -91,58 +91,58 @@
 		}
 
 		this.#entries.delete(id);
-		const beganMs = Math.max(this.#lastEndMs, entry.givenMs);
-		this.#lastEndMs = Math.max(this.#lastEndMs, atMs);
+		const startedMs = Math.max(this.#lastCompletedMs, entry.addedMs);
+		this.#lastCompletedMs = Math.max(this.#lastCompletedMs, atMs);
 		// Prompts are reported in the order in which they were read: nothing else was begun before this moment.
-		this.#freeMs = this.#lastEndMs;
+		this.#idleAtMs = this.#lastCompletedMs;
 		for (const other of this.#entries.values()) {
-			other.endMs = undefined;
+			other.expectedEndMs = undefined;
 		}
 
 		return {
-			busyMs: Math.max(0, atMs - beganMs), workMs: entry.workMs, totalMs: atMs - entry.givenMs, wasIdle: entry.wasIdle,
+			busyMs: Math.max(0, atMs - startedMs), workMs: entry.workMs, totalMs: atMs - entry.addedMs, wasIdle: entry.wasIdle,
 		};
 	}
 
 	/** Takes a prompt out that will not be read any more. */
 	remove(id: string, nowMs: number): void {
-		this.#advance(nowMs);
+		this.#startDue(nowMs);
 		const entry = this.#entries.get(id);
 		this.#entries.delete(id);
-		if (entry?.endMs !== undefined && entry.endMs > nowMs) {
-			this.#freeMs = nowMs;
+		if (entry?.expectedEndMs !== undefined && entry.expectedEndMs > nowMs) {
+			this.#idleAtMs = nowMs;
 		}
 	}
 
 	/** Time by which the most overdue prompt is overdue, milliseconds; 0 if none is. */
 	overdueMs(nowMs: number): number {
-		let mostMs = 0;
+		let maxMs = 0;
 		for (const {dueMs} of this.#entries.values()) {
-			mostMs = Math.max(mostMs, nowMs - dueMs);
+			maxMs = Math.max(maxMs, nowMs - dueMs);
 		}
 
-		return mostMs;
+		return maxMs;
 	}
 
 	/** Begins what the engine should have begun by now. */
-	#advance(nowMs: number): void {
-		while (this.#freeMs <= nowMs) {
-			const next = this.#next();
+	#startDue(nowMs: number): void {
+		while (this.#idleAtMs <= nowMs) {
+			const next = this.#selectNext();
 			if (!next) {
 				return;
 			}
 
-			next.endMs = Math.max(this.#freeMs, next.givenMs) + next.workMs;
-			this.#freeMs = next.endMs;
+			next.expectedEndMs = Math.max(this.#idleAtMs, next.addedMs) + next.workMs;
+			this.#idleAtMs = next.expectedEndMs;
 		}
 	}
 
 	/** The most urgent prompt that is there when the engine is free; if none is, the first to come. */
-	#next(): Entry | undefined {
-		let next: Entry | undefined;
+	#selectNext(): QueuedPrompt | undefined {
+		let next: QueuedPrompt | undefined;
 		for (const entry of this.#entries.values()) {
-			const isThere = entry.givenMs <= this.#freeMs;
-			if (entry.endMs === undefined && (!next || (isThere && entry.priority < next.priority))) {
+			const hasArrived = entry.addedMs <= this.#idleAtMs;
+			if (entry.expectedEndMs === undefined && (!next || (hasArrived && entry.priority < next.priority))) {
 				next = entry;
 			}
 		}
--- a/src/routing/roles.ts
+++ b/src/routing/roles.ts
@@ -9,7 +9,7 @@
 import {ENGINE_ROLES, type EngineRole, type EngineSpeed} from './choice.js';
 import {MIN_HANDOFF_TOKENS} from './handoff.js';
 
-const BATCH_OF_A_BUSY_ENGINE = 42;
+const BUSY_BATCH_SIZE = 42;
 
 /** Work that comes in, in engines that it would keep busy. */
 export type Demand = {
@@ -74,7 +74,7 @@
 	}
 
 	const counts = countRoles(engines);
-	const now = overload(demand, counts, profile);
+	const currentOverload = estimateOverload(demand, counts, profile);
 	const candidates = [
 		evaluate(ENGINE_ROLES.prefill, {prefill: counts.prefill + 1, decode: counts.decode - 1}),
 		evaluate(ENGINE_ROLES.decode, {prefill: counts.prefill - 1, decode: counts.decode + 1}),
@@ -89,7 +89,7 @@
 			return undefined;
 		}
 
-		const removed = now - overload(demand, next, profile);
+		const removed = currentOverload - estimateOverload(demand, next, profile);
 		const gain = (removed * profile.horizonSeconds) - profile.downtimeSeconds - profile.changeWeight;
 		const reason = `prefill needs ${demand.prefill.toFixed(1)} of ${counts.prefill} engines, decode ${demand.decode.toFixed(1)} of ${counts.decode}`;
 		return {
@@ -99,7 +99,7 @@
 }
 
 /** Engines' worth of work that cannot be done in time. */
-function overload(demand: Demand, counts: Demand, profile: RoleProfile): number {
+function estimateOverload(demand: Demand, counts: Demand, profile: RoleProfile): number {
 	const excess = (need: number, count: number) => Math.max(0, need - (count * profile.targetUtilisation));
 	return excess(demand.prefill, counts.prefill) + excess(demand.decode, counts.decode);
 }
@@ -119,7 +119,7 @@
  * ```
  */
 export function estimateEngineTime(shape: {readonly promptTokens: number; readonly outputTokens: number}, speed: EngineSpeed): {readonly prefillMs: number; readonly decodeMs: number} {
-	const perTokenMs = (speed.stepMs / BATCH_OF_A_BUSY_ENGINE) + speed.stepMsPerRequest;
+	const perTokenMs = (speed.stepMs / BUSY_BATCH_SIZE) + speed.stepMsPerRequest;
 	const promptMs = shape.promptTokens / speed.prefillTokensPerMs;
 	const decodeMs = shape.outputTokens * perTokenMs;
 	// Short prompts are computed where the answer is.
@@ -151,9 +151,9 @@
 	}
 
 	#decay(nowMs: number): void {
-		const keep = Math.exp(-(nowMs - this.#atMs) / this.#windowMs);
-		this.#prefill *= keep;
-		this.#decode *= keep;
+		const decay = Math.exp(-(nowMs - this.#atMs) / this.#windowMs);
+		this.#prefill *= decay;
+		this.#decode *= decay;
 		this.#atMs = Math.max(this.#atMs, nowMs);
 	}
 }
--- a/src/routing/routes.ts
+++ b/src/routing/routes.ts
@@ -76,14 +76,14 @@
  */
 export function validateRoutingConfig(config: RoutingConfig): Either.Either<Problem, RoutingConfig> {
 	const services = new Set(config.services.map(({name}) => name));
-	const places = new Set<string>();
+	const keys = new Set<string>();
 	for (const route of config.routes) {
-		const fault = findRuleFault(route, services, places);
-		if (fault !== undefined) {
-			return Either.left(createProblem('publicationInvalid', `Route ${route.name} ${fault}.`));
+		const error = findRouteError(route, services, keys);
+		if (error !== undefined) {
+			return Either.left(createProblem('publicationInvalid', `Route ${route.name} ${error}.`));
 		}
 
-		places.add(placeOf(route));
+		keys.add(createRouteKey(route));
 	}
 
 	return Either.right(config);
@@ -146,14 +146,14 @@
 	return route.targets.findLast(({weight}) => weight > 0)?.service ?? '';
 }
 
-function findRuleFault(route: Route, services: ReadonlySet<string>, places: ReadonlySet<string>): string | undefined {
+function findRouteError(route: Route, services: ReadonlySet<string>, keys: ReadonlySet<string>): string | undefined {
 	const unknown = route.targets.find(({service}) => !services.has(service));
 	if (unknown) {
 		return `names the unknown service ${unknown.service}`;
 	}
 
-	if (places.has(placeOf(route))) {
-		return `has the host and prefix of another: ${placeOf(route)}`;
+	if (keys.has(createRouteKey(route))) {
+		return `has the host and prefix of another: ${createRouteKey(route)}`;
 	}
 
 	if (route.targets.some(({weight}) => weight < 0) || route.targets.reduce((sum, {weight}) => sum + weight, 0) <= 0) {
@@ -163,6 +163,6 @@
 	return route.timeoutMs > 0 ? undefined : 'has no time-out';
 }
 
-function placeOf({host, prefix}: Route): string {
+function createRouteKey({host, prefix}: Route): string {
 	return `${host.toLowerCase()}${prefix}`;
 }
--- a/src/routing/scheduler.ts
+++ b/src/routing/scheduler.ts
@@ -67,40 +67,40 @@
 /** Urgency of what is late already: behind everything else. */
 export const LATE_PRIORITY = 9;
 /** Time to hand a read prompt over: two exchanges and the set-up of a transfer, milliseconds. */
-const HANDOVER_MS = 8;
+const HANDOFF_MS = 8;
 /** What the way to another data centre costs, milliseconds. */
-const CROSSING_MS = 2;
+const CROSS_DATA_CENTRE_MS = 2;
 /** A prompt that is read between the tokens of running requests delays them all: weight of each of them. */
-const DISTURBANCE_WEIGHT = 0.02;
+const INTERFERENCE_WEIGHT = 0.02;
 /** Weight of the delay of each less urgent prompt that waits behind. */
-const BEHIND_WEIGHT = 0.25;
+const OVERTAKING_WEIGHT = 0.25;
 /** Share of failures that sound engines have now and then: a lost answer, a connection that was reset. */
 const FAILURE_TOLERANCE = 0.3;
 /** What a failed request costs, milliseconds: about what its caller would have waited. */
-const FAILURE_MS = 4000;
+const FAILURE_COST_MS = 4000;
 /** How long an engine that failed a request is avoided, milliseconds. */
-const SUSPICION_MS = 1500;
+const FAILURE_SUSPICION_MS = 1500;
 /** How long an engine that refused a request is avoided: it is full, or changes its role. */
-const REFUSAL_MS = 300;
+const REFUSAL_SUSPICION_MS = 300;
 /** How long a request is remembered after its caller has given up, milliseconds. */
-const FLIGHT_GRACE_MS = 2000;
+const EXPIRY_GRACE_MS = 2000;
 /** What a full engine costs a further request, milliseconds: about the time of a short answer. */
-const FULL_MS = 400;
+const FULL_ENGINE_COST_MS = 400;
 /** Share of its objective that a prompt's own reading may take before it counts as late by its size. */
-const LARGE_SHARE = 0.8;
+const LARGE_PROMPT_SHARE = 0.8;
 /** Reading that holds others up by less than this is not put off, milliseconds. */
-const LEAST_DELAY_MS = 50;
+const MIN_DEFERRABLE_MS = 50;
 /** A request is refused if it would begin only after this multiple of its caller's patience: estimates may be too high. */
-const HOPELESS_FACTOR = 1.2;
-const LEAST_RETRY_AFTER_MS = 200;
+const REJECTION_FACTOR = 1.2;
+const MIN_RETRY_AFTER_MS = 200;
 /** When to come back if no engine is known: engines announce themselves about once a second. */
 const NO_ENGINE_RETRY_MS = 1000;
 /** Time from a prompt read elsewhere to the first event, milliseconds: about two exchanges, a transfer and some steps. */
-const FIRST_EVENT_MS = 30;
+const HANDOFF_FIRST_EVENT_MS = 30;
 /** The same at the engine that read it. */
-const DIRECT_EVENT_MS = 10;
+const DIRECT_FIRST_EVENT_MS = 10;
 
-type Open = {
+type OpenRequest = {
 	/** Undefined if another placer decided. */
 	readonly request: PlacementRequest | undefined;
 	readonly expiresMs: number;
@@ -108,28 +108,28 @@
 	runner: string | undefined;
 };
 
-type Option = {
+type PrefillOption = {
 	readonly engine: EngineState;
 	readonly plan: PrefillPlan;
 	/** Time until the prompt is read. */
-	readonly readMs: number;
+	readonly prefilledMs: number;
 	/** The same, with what it costs others. */
 	readonly costMs: number;
 };
 
-type Choice = {
+type EngineSelection = {
 	/** Engine that reads ahead; without it the runner reads. */
 	readonly reader: EngineState | undefined;
 	readonly runner: EngineState | undefined;
 	readonly plan: PrefillPlan;
 	/** Time until the first event. */
-	readonly firstMs: number;
+	readonly firstEventMs: number;
 };
 
 /** The placer of one or more pools. */
 export class Scheduler {
 	readonly #engines = new Map<string, EngineState>();
-	readonly #open = new Map<string, Open>();
+	readonly #openRequests = new Map<string, OpenRequest>();
 
 	/** Replaces the engines to choose from; what is known of those that stay is kept. */
 	updateEngines(engines: readonly EngineInfo[]): void {
@@ -152,27 +152,27 @@
 
 	/** Requests that were placed and have not ended. */
 	get openCount(): number {
-		return this.#open.size;
+		return this.#openRequests.size;
 	}
 
 	/** Decides for a new request, or again for one whose engine failed. */
 	place(request: PlacementRequest, nowMs: number): PlacementDecision {
-		this.#expire(nowMs);
-		this.#forget(request.id, nowMs);
-		const inTime = this.#choose(request, nowMs, false);
-		if (!inTime) {
+		this.#expireRequests(nowMs);
+		this.#closeRequest(request.id, nowMs);
+		const onTime = this.#selectEngines(request, nowMs, false);
+		if (!onTime) {
 			return reject(request, 'no engine makes tokens', NO_ENGINE_RETRY_MS);
 		}
 
 		// What waiting has made late goes behind what can be in time. A prompt that is late by its size alone keeps its turn,
 		// since it would never get one otherwise, and a short one too, since it holds nobody up.
-		const {workMs} = inTime.plan;
-		const mayWait = workMs > LEAST_DELAY_MS && workMs < request.objectiveMs * LARGE_SHARE;
-		const isLate = mayWait && inTime.firstMs > request.objectiveMs;
-		const choice = isLate ? this.#choose(request, nowMs, true) ?? inTime : inTime;
-		if (choice.firstMs > request.patienceMs * HOPELESS_FACTOR) {
-			const reason = `the first event would come in ${Math.round(choice.firstMs)} ms, its caller waits ${Math.round(request.patienceMs)} ms`;
-			return reject(request, reason, Math.max(LEAST_RETRY_AFTER_MS, choice.firstMs - request.objectiveMs));
+		const {workMs} = onTime.plan;
+		const isDeferrable = workMs > MIN_DEFERRABLE_MS && workMs < request.objectiveMs * LARGE_PROMPT_SHARE;
+		const isLate = isDeferrable && onTime.firstEventMs > request.objectiveMs;
+		const choice = isLate ? this.#selectEngines(request, nowMs, true) ?? onTime : onTime;
+		if (choice.firstEventMs > request.patienceMs * REJECTION_FACTOR) {
+			const reason = `the first event would come in ${Math.round(choice.firstEventMs)} ms, its caller waits ${Math.round(request.patienceMs)} ms`;
+			return reject(request, reason, Math.max(MIN_RETRY_AFTER_MS, choice.firstEventMs - request.objectiveMs));
 		}
 
 		return this.#assign(request, choice, isLate, nowMs);
@@ -180,28 +180,28 @@
 
 	/** Notes where a request runs on another placer's word, to take over from it if need be. */
 	recordPlacement(request: ObservedRequest, reader: string | undefined, runner: string, nowMs: number): void {
-		this.#forget(request.id, nowMs);
-		const open: Open = {
-			request: undefined, expiresMs: nowMs + request.patienceMs + FLIGHT_GRACE_MS, reader, runner,
+		this.#closeRequest(request.id, nowMs);
+		const open: OpenRequest = {
+			request: undefined, expiresMs: nowMs + request.patienceMs + EXPIRY_GRACE_MS, reader, runner,
 		};
-		this.#open.set(request.id, open);
+		this.#openRequests.set(request.id, open);
 		this.#engines.get(reader ?? '')?.recordCached(request.parts);
-		this.#engines.get(runner)?.startRun(request.id, toFlight(request), undefined);
+		this.#engines.get(runner)?.startRun(request.id, toRequestSize(request), undefined);
 	}
 
 	/** Decides where a request runs whose prompt was read on another placer's word. */
 	chooseRunner(request: PlacementRequest, reader: string, nowMs: number): PlacementDecision {
-		this.#forget(request.id, nowMs);
-		const open: Open = {
-			request, expiresMs: nowMs + request.patienceMs + FLIGHT_GRACE_MS, reader, runner: undefined,
+		this.#closeRequest(request.id, nowMs);
+		const open: OpenRequest = {
+			request, expiresMs: nowMs + request.patienceMs + EXPIRY_GRACE_MS, reader, runner: undefined,
 		};
-		this.#open.set(request.id, open);
+		this.#openRequests.set(request.id, open);
 		return this.#assignRunner(open, request, nowMs);
 	}
 
 	/** Takes how far a request is; answers with a runner once its prompt is read. */
 	recordMilestone(id: string, milestone: MilestoneName, server: string | undefined, nowMs: number): PlacementDecision | undefined {
-		const open = this.#open.get(id);
+		const open = this.#openRequests.get(id);
 		if (server !== undefined && (milestone === MILESTONES.failed || milestone === MILESTONES.refused)) {
 			this.#suspect(server, milestone === MILESTONES.failed, nowMs);
 		}
@@ -225,13 +225,13 @@
 
 			case MILESTONES.done: {
 				this.#engines.get(open.runner ?? '')?.recordOutcome(false, nowMs);
-				this.#forget(id, nowMs);
+				this.#closeRequest(id, nowMs);
 				return undefined;
 			}
 
 			case MILESTONES.refused:
 			case MILESTONES.failed: {
-				this.#forget(id, nowMs);
+				this.#closeRequest(id, nowMs);
 				return undefined;
 			}
 		}
@@ -239,42 +239,42 @@
 
 	#suspect(server: string, isFailure: boolean, nowMs: number): void {
 		const engine = this.#engines.get(server);
-		engine?.suspect(nowMs + (isFailure ? SUSPICION_MS : REFUSAL_MS), nowMs);
+		engine?.suspect(nowMs + (isFailure ? FAILURE_SUSPICION_MS : REFUSAL_SUSPICION_MS), nowMs);
 		if (isFailure) {
 			engine?.recordOutcome(true, nowMs);
 		}
 	}
 
 	/** The engines that bring the first event soonest; undefined if none makes tokens. */
-	#choose(request: PlacementRequest, nowMs: number, isLate: boolean): Choice | undefined {
+	#selectEngines(request: PlacementRequest, nowMs: number, isLate: boolean): EngineSelection | undefined {
 		const holders = this.#listEngines(request).filter(engine => !engine.isSuspected(nowMs));
-		const readers = holders.filter(({info: facts}) => facts.role === ENGINE_ROLES.prefill);
+		const prefillEngines = holders.filter(({info: facts}) => facts.role === ENGINE_ROLES.prefill);
 		const runners = this.#listRunners(request, nowMs);
-		const direct = best(runners.map(engine => this.#readOption(engine, request, holders, {nowMs, isLate})));
+		const direct = findCheapest(runners.map(engine => this.#evaluatePrefill(engine, request, holders, {nowMs, isLate})));
 		if (!direct) {
 			return undefined;
 		}
 
-		const runCostMs = Math.min(...runners.map(engine => this.#runCostMs(engine, request, nowMs)));
-		const ahead = best(readers.map(engine => this.#readOption(engine, request, holders, {nowMs, isLate})));
-		if (ahead && ahead.costMs + HANDOVER_MS + runCostMs < direct.costMs) {
+		const runCostMs = Math.min(...runners.map(engine => this.#estimateRunCostMs(engine, request, nowMs)));
+		const ahead = findCheapest(prefillEngines.map(engine => this.#evaluatePrefill(engine, request, holders, {nowMs, isLate})));
+		if (ahead && ahead.costMs + HANDOFF_MS + runCostMs < direct.costMs) {
 			return {
-				reader: ahead.engine, runner: undefined, plan: ahead.plan, firstMs: ahead.readMs + HANDOVER_MS + FIRST_EVENT_MS,
+				reader: ahead.engine, runner: undefined, plan: ahead.plan, firstEventMs: ahead.prefilledMs + HANDOFF_MS + HANDOFF_FIRST_EVENT_MS,
 			};
 		}
 
 		return {
-			reader: undefined, runner: direct.engine, plan: direct.plan, firstMs: direct.readMs + DIRECT_EVENT_MS,
+			reader: undefined, runner: direct.engine, plan: direct.plan, firstEventMs: direct.prefilledMs + DIRECT_FIRST_EVENT_MS,
 		};
 	}
 
-	#assign(request: PlacementRequest, {reader, runner, plan, firstMs}: Choice, isLate: boolean, nowMs: number): PlacementDecision {
+	#assign(request: PlacementRequest, {reader, runner, plan, firstEventMs}: EngineSelection, isLate: boolean, nowMs: number): PlacementDecision {
 		const engine = reader ?? runner!;
-		this.#open.set(request.id, {
-			request, expiresMs: nowMs + request.patienceMs + FLIGHT_GRACE_MS, reader: reader?.info.server, runner: runner?.info.server,
+		this.#openRequests.set(request.id, {
+			request, expiresMs: nowMs + request.patienceMs + EXPIRY_GRACE_MS, reader: reader?.info.server, runner: runner?.info.server,
 		});
-		engine.startPrefill(request.id, toFlight(request), {workMs: plan.workMs, priority: isLate ? LATE_PRIORITY : request.priority}, nowMs);
-		runner?.startRun(request.id, toFlight(request), nowMs + firstMs);
+		engine.startPrefill(request.id, toRequestSize(request), {workMs: plan.workMs, priority: isLate ? LATE_PRIORITY : request.priority}, nowMs);
+		runner?.startRun(request.id, toRequestSize(request), nowMs + firstEventMs);
 		return {
 			type: 'assignment',
 			id: request.id,
@@ -282,17 +282,17 @@
 			runner: runner?.info.server,
 			source: plan.source,
 			cachedTokens: plan.cachedTokens,
-			expectedMs: Math.round(firstMs),
+			expectedMs: Math.round(firstEventMs),
 			isLate,
 		};
 	}
 
-	#assignRunner(open: Open, request: PlacementRequest, nowMs: number): PlacementDecision {
+	#assignRunner(open: OpenRequest, request: PlacementRequest, nowMs: number): PlacementDecision {
 		const reader = this.#engines.get(open.reader ?? '');
 		let chosen: EngineState | undefined;
 		let lowestMs = Number.POSITIVE_INFINITY;
 		for (const engine of this.#listRunners(request, nowMs)) {
-			const costMs = this.#runCostMs(engine, request, nowMs) + estimateTransferMs(request, reader?.info.dataCentre, engine.info.dataCentre);
+			const costMs = this.#estimateRunCostMs(engine, request, nowMs) + estimateTransferMs(request, reader?.info.dataCentre, engine.info.dataCentre);
 			if (costMs < lowestMs) {
 				lowestMs = costMs;
 				chosen = engine;
@@ -304,7 +304,7 @@
 		}
 
 		open.runner = chosen.info.server;
-		chosen.startRun(request.id, toFlight(request), nowMs + lowestMs + FIRST_EVENT_MS);
+		chosen.startRun(request.id, toRequestSize(request), nowMs + lowestMs + HANDOFF_FIRST_EVENT_MS);
 		return {type: 'assignment', id: request.id, runner: open.runner};
 	}
 
@@ -319,62 +319,62 @@
 		return [...this.#engines.values()].filter(({info: facts}) => facts.service === request.service && !request.excluded.includes(facts.server));
 	}
 
-	#readOption(engine: EngineState, request: PlacementRequest, holders: readonly EngineState[], {nowMs, isLate}: {nowMs: number; isLate: boolean}): Option {
+	#evaluatePrefill(engine: EngineState, request: PlacementRequest, holders: readonly EngineState[], {nowMs, isLate}: {nowMs: number; isLate: boolean}): PrefillOption {
 		const plan = planPrefill(engine, request, holders);
-		const crossingMs = engine.info.dataCentre === request.dataCentre ? 0 : CROSSING_MS;
+		const networkMs = engine.info.dataCentre === request.dataCentre ? 0 : CROSS_DATA_CENTRE_MS;
 		const priority = isLate ? LATE_PRIORITY : request.priority;
-		const readMs = engine.overheadMs + engine.waitMs(priority, nowMs) + plan.workMs + crossingMs;
-		const behindMs = engine.countLowerPriority(priority, nowMs) * plan.workMs * BEHIND_WEIGHT;
-		const disturbance = 1 + (engine.runningCount * DISTURBANCE_WEIGHT);
+		const prefilledMs = engine.overheadMs + engine.waitMs(priority, nowMs) + plan.workMs + networkMs;
+		const overtakingMs = engine.countLowerPriority(priority, nowMs) * plan.workMs * OVERTAKING_WEIGHT;
+		const interference = 1 + (engine.runningCount * INTERFERENCE_WEIGHT);
 		const othersMs = engine.info.role === ENGINE_ROLES.prefill
-			? failureCostMs(engine, nowMs)
-			: (plan.workMs * disturbance) + this.#runCostMs(engine, request, nowMs);
+			? estimateFailureCostMs(engine, nowMs)
+			: (plan.workMs * interference) + this.#estimateRunCostMs(engine, request, nowMs);
 		return {
-			engine, plan, readMs, costMs: readMs + plan.evictionCostMs + behindMs + othersMs,
+			engine, plan, prefilledMs, costMs: prefilledMs + plan.evictionCostMs + overtakingMs + othersMs,
 		};
 	}
 
 	/** What running a request at an engine costs it and the ones beside it, milliseconds. */
-	#runCostMs(engine: EngineState, request: PlacementRequest, nowMs: number): number {
+	#estimateRunCostMs(engine: EngineState, request: PlacementRequest, nowMs: number): number {
 		const {slots, kvTokens} = engine.info;
 		const need = request.promptTokens + request.outputTokens;
 		const isFull = engine.runningCount >= slots || engine.contextTokens + need > kvTokens;
 		const excess = Math.max(0, engine.runningCount + 1 - slots) + Math.max(0, (engine.contextTokens + need - kvTokens) / need);
-		const waitMs = isFull ? FULL_MS * (1 + excess) : 0;
-		return (engine.contextStepMs(need) * (request.outputTokens + engine.runningCount)) + waitMs + failureCostMs(engine, nowMs);
+		const waitMs = isFull ? FULL_ENGINE_COST_MS * (1 + excess) : 0;
+		return (engine.contextStepMs(need) * (request.outputTokens + engine.runningCount)) + waitMs + estimateFailureCostMs(engine, nowMs);
 	}
 
-	#forget(id: string, nowMs: number): void {
-		const open = this.#open.get(id);
-		this.#open.delete(id);
+	#closeRequest(id: string, nowMs: number): void {
+		const open = this.#openRequests.get(id);
+		this.#openRequests.delete(id);
 		for (const server of [open?.reader, open?.runner]) {
 			this.#engines.get(server ?? '')?.endRequest(id, nowMs);
 		}
 	}
 
-	#expire(nowMs: number): void {
-		for (const [id, open] of this.#open) {
+	#expireRequests(nowMs: number): void {
+		for (const [id, open] of this.#openRequests) {
 			if (open.expiresMs < nowMs) {
-				this.#forget(id, nowMs);
+				this.#closeRequest(id, nowMs);
 			}
 		}
 	}
 }
 
 /** What it costs that an engine is likely to fail a request, milliseconds. */
-function failureCostMs(engine: EngineState, nowMs: number): number {
-	return Math.max(0, engine.failureRate(nowMs) - FAILURE_TOLERANCE) * FAILURE_MS;
+function estimateFailureCostMs(engine: EngineState, nowMs: number): number {
+	return Math.max(0, engine.failureRate(nowMs) - FAILURE_TOLERANCE) * FAILURE_COST_MS;
 }
 
-function best(options: readonly Option[]): Option | undefined {
-	let found: Option | undefined;
+function findCheapest(options: readonly PrefillOption[]): PrefillOption | undefined {
+	let cheapest: PrefillOption | undefined;
 	for (const option of options) {
-		if (!found || option.costMs < found.costMs) {
-			found = option;
+		if (!cheapest || option.costMs < cheapest.costMs) {
+			cheapest = option;
 		}
 	}
 
-	return found;
+	return cheapest;
 }
 
 function reject(request: PlacementRequest, reason: string, retryAfterMs: number): PlacementDecision {
@@ -383,6 +383,6 @@
 	};
 }
 
-function toFlight({parts, promptTokens, outputTokens}: RequestSize): RequestSize {
+function toRequestSize({parts, promptTokens, outputTokens}: RequestSize): RequestSize {
 	return {parts, promptTokens, outputTokens};
 }
--- a/src/serving/caller.ts
+++ b/src/serving/caller.ts
@@ -32,20 +32,20 @@
 export class Caller {
 	readonly request: IncomingMessage;
 	readonly #response: ServerResponse;
-	readonly #onEnd: Array<(end: CallOutcome) => void> = [];
-	#end: CallOutcome | undefined;
+	readonly #endHandlers: Array<(outcome: CallOutcome) => void> = [];
+	#outcome: CallOutcome | undefined;
 	#problem: Problem | undefined;
 
 	constructor(request: IncomingMessage, response: ServerResponse) {
 		this.request = request;
 		this.#response = response;
 		response.once('close', () => {
-			this.#finish(CALL_OUTCOMES.gone);
+			this.#end(CALL_OUTCOMES.gone);
 		});
 	}
 
 	get isEnded(): boolean {
-		return this.#end !== undefined;
+		return this.#outcome !== undefined;
 	}
 
 	/** Whether the head of an answer has gone out. */
@@ -62,8 +62,8 @@
 		return this.#response.statusCode;
 	}
 
-	onEnd(handler: (end: CallOutcome) => void): void {
-		this.#onEnd.push(handler);
+	onEnd(handler: (outcome: CallOutcome) => void): void {
+		this.#endHandlers.push(handler);
 	}
 
 	/** Reads the whole body; undefined if the caller has left. */
@@ -109,16 +109,16 @@
 			return;
 		}
 
-		this.#open(framing);
+		this.#applyFraming(framing);
 		this.#response.writeHead(status, framing === FRAMINGS.open ? headers : {...headers, 'content-length': body.length});
 		this.#response.end(body);
-		this.#finish(CALL_OUTCOMES.answered);
+		this.#end(CALL_OUTCOMES.answered);
 	}
 
 	/** Begins an answer that is passed on as it comes. */
 	startResponse(status: number, headers: OutgoingHttpHeaders, framing: Framing = FRAMINGS.closed): void {
 		if (!this.isEnded) {
-			this.#open(framing);
+			this.#applyFraming(framing);
 			this.#response.writeHead(status, headers);
 			this.#response.flushHeaders();
 		}
@@ -138,7 +138,7 @@
 	endResponse(): void {
 		if (!this.isEnded) {
 			this.#response.end();
-			this.#finish(CALL_OUTCOMES.answered);
+			this.#end(CALL_OUTCOMES.answered);
 		}
 	}
 
@@ -151,7 +151,7 @@
 		this.#problem = problem;
 		if (this.hasStartedResponse) {
 			this.#response.destroy();
-			this.#finish(CALL_OUTCOMES.broken);
+			this.#end(CALL_OUTCOMES.broken);
 			return;
 		}
 
@@ -169,24 +169,24 @@
 			'carawayhoist-outcome': problem.verdict,
 		});
 		this.#response.end(body);
-		this.#finish(CALL_OUTCOMES.refused);
+		this.#end(CALL_OUTCOMES.refused);
 	}
 
-	#open(framing: Framing): void {
+	#applyFraming(framing: Framing): void {
 		if (framing === FRAMINGS.open) {
 			this.#response.useChunkedEncodingByDefault = false;
 			this.#response.shouldKeepAlive = false;
 		}
 	}
 
-	#finish(end: CallOutcome): void {
+	#end(outcome: CallOutcome): void {
 		if (this.isEnded) {
 			return;
 		}
 
-		this.#end = end;
-		for (const handler of this.#onEnd) {
-			handler(end);
+		this.#outcome = outcome;
+		for (const handler of this.#endHandlers) {
+			handler(outcome);
 		}
 	}
 }
--- a/src/serving/context.ts
+++ b/src/serving/context.ts
@@ -83,10 +83,10 @@
 };
 
 /** Connections that every host may open to a server whatever the number of hosts. */
-const LEAST_CONNECTIONS = 4;
+const MIN_CONNECTIONS = 4;
 /** Share of a server's connections that the hosts divide; the rest is for hosts that come and go. */
 const CONNECTION_SHARE = 0.8;
-const MOST_CONNECTIONS = 64;
+const MAX_CONNECTIONS = 64;
 /** How long callers wait when no server is known: announcements come every second or so. */
 const NO_SERVER_RETRY_SECONDS = 1;
 
@@ -100,7 +100,7 @@
  */
 export function sendAttempt(context: ServingContext, call: Call, {server, ...attempt}: AttemptOptions, sink: ResponseHandler): Exchange {
 	const {request} = call.caller;
-	const cap = call.routeTable.findService(call.service)?.maxConnections ?? MOST_CONNECTIONS;
+	const cap = call.routeTable.findService(call.service)?.maxConnections ?? MAX_CONNECTIONS;
 	const share = Math.floor((cap * CONNECTION_SHARE) / context.countHosts());
 	return context.upstream.send({
 		address: {address: server.address, port: server.port},
@@ -108,7 +108,7 @@
 		path: request.url ?? '/',
 		headers: context.protocol.buildRequestHeaders(request, {...attempt, server: server.server}),
 		body: call.body,
-		maxConnections: Math.max(LEAST_CONNECTIONS, Math.min(MOST_CONNECTIONS, share)),
+		maxConnections: Math.max(MIN_CONNECTIONS, Math.min(MAX_CONNECTIONS, share)),
 	}, sink);
 }
 
--- a/src/serving/gateway.ts
+++ b/src/serving/gateway.ts
@@ -31,7 +31,7 @@
 const BACKLOG = 1024;
 /** Time from a start of all hosts at once until callers are served again: an election and a round of announcements. */
 const RECOVERY_MS = 1600;
-const LEAST_RETRY_MS = 500;
+const MIN_RETRY_MS = 500;
 /** A caller that gives no deadline is not kept longer than its route says. */
 const NO_DEADLINE_MS = Number.POSITIVE_INFINITY;
 
@@ -52,7 +52,7 @@
 		this.#server.requestTimeout = 0;
 		this.applyLimits(DEFAULT_LIMITS);
 		this.#server.on('clientError', (error, socket) => {
-			refuseMalformed(error, socket as Socket);
+			rejectMalformed(error, socket as Socket);
 		});
 	}
 
@@ -105,10 +105,10 @@
 		this.#active++;
 		context.metrics.active.set(this.#active);
 		const served: {call?: Call} = {};
-		caller.onEnd(end => {
+		caller.onEnd(outcome => {
 			this.#active--;
 			context.metrics.active.set(this.#active);
-			this.#logEnd(caller, served.call, end, arrivedMs);
+			this.#logEnd(caller, served.call, outcome, arrivedMs);
 		});
 		const found = await this.#createCall(caller, arrivedMs);
 		if (found === undefined || caller.isEnded) {
@@ -134,9 +134,9 @@
 		caller.onEnd(() => {
 			clearTimeout(timer);
 		});
-		const isPlaced = rule.kind === ROUTE_KINDS.stream && head.prompt !== undefined && table.findService(service)?.engines !== undefined;
+		const isScheduled = rule.kind === ROUTE_KINDS.stream && head.prompt !== undefined && table.findService(service)?.engines !== undefined;
 		try {
-			await (isPlaced ? new StreamCall(context, call, head.prompt) : new PlainCall(context, call)).run();
+			await (isScheduled ? new StreamCall(context, call, head.prompt) : new PlainCall(context, call)).run();
 		} catch (error) {
 			context.logger.error('An unexpected fault.', {request: head.id, error: String(error), stack: (error as Error).stack});
 			caller.fail(createProblem('internal', `Request ${head.id}.`));
@@ -166,10 +166,10 @@
 		return this.#findRoute(caller, {head: head.right, body: body.right, arrivedMs});
 	}
 
-	#findRoute(caller: Caller, parts: Pick<Call, 'head' | 'body' | 'arrivedMs'>): Either.Either<Problem, Call> {
+	#findRoute(caller: Caller, received: Pick<Call, 'head' | 'body' | 'arrivedMs'>): Either.Either<Problem, Call> {
 		const routeTable = this.#options.getRouteTable();
 		if (!routeTable) {
-			return Either.left(createProblem('notPublished', undefined, this.#recoverySeconds()));
+			return Either.left(createProblem('notPublished', undefined, this.#estimateRecoverySeconds()));
 		}
 
 		const {request} = caller;
@@ -178,43 +178,43 @@
 			return Either.left(createProblem('notFound', `No route for ${request.headers.host ?? ''}${request.url ?? ''}.`));
 		}
 
-		const waitMs = Math.min(route.timeoutMs, parts.head.timeoutMs ?? NO_DEADLINE_MS);
+		const waitMs = Math.min(route.timeoutMs, received.head.timeoutMs ?? NO_DEADLINE_MS);
 		return Either.right({
-			...parts,
+			...received,
 			caller,
 			route,
 			routeTable,
 			service: chooseService(route, this.#options.context.random),
-			deadlineMs: parts.arrivedMs + waitMs,
+			deadlineMs: received.arrivedMs + waitMs,
 			logFields: {servers: []},
 		});
 	}
 
 	/** When to come back to a host that knows no routes: it, or all of them, started a moment ago. */
-	#recoverySeconds(): number {
+	#estimateRecoverySeconds(): number {
 		const upMs = this.#options.context.clock.monotonicMs() - this.#startedMs;
-		return Math.ceil(Math.max(LEAST_RETRY_MS, RECOVERY_MS - upMs) / 100) / 10;
+		return Math.ceil(Math.max(MIN_RETRY_MS, RECOVERY_MS - upMs) / 100) / 10;
 	}
 
-	#logEnd(caller: Caller, call: Call | undefined, end: CallOutcome, arrivedMs: number): void {
+	#logEnd(caller: Caller, call: Call | undefined, outcome: CallOutcome, arrivedMs: number): void {
 		const {logger, clock, metrics} = this.#options.context;
-		const tookMs = Math.round(clock.monotonicMs() - arrivedMs);
+		const durationMs = Math.round(clock.monotonicMs() - arrivedMs);
 		const route = call?.route.name ?? 'none';
-		metrics.requests.inc({route, outcome: end});
-		metrics.duration.observe({route}, tookMs);
+		metrics.requests.inc({route, outcome});
+		metrics.duration.observe({route}, durationMs);
 		if (call?.logFields.firstMs !== undefined) {
 			metrics.firstByte.observe({route}, call.logFields.firstMs);
 		}
 
 		const {problem, status} = caller;
-		logger.info(`Request ${end}.`, {
-			request: call?.head.id, route, service: call?.service, version: call?.routeTable.config.version, status, tookMs, ...call?.logFields, code: problem?.code, reason: problem?.text,
+		logger.info(`Request ${outcome}.`, {
+			request: call?.head.id, route, service: call?.service, version: call?.routeTable.config.version, status, durationMs, ...call?.logFields, code: problem?.code, reason: problem?.text,
 		});
 	}
 }
 
 /** Answers bytes that are not HTTP, or heads that are too long or too slow, and closes only that connection. */
-function refuseMalformed(error: Error & {code?: string}, socket: Socket): void {
+function rejectMalformed(error: Error & {code?: string}, socket: Socket): void {
 	if (error.code === 'ECONNRESET' || !socket.writable) {
 		socket.destroy();
 		return;
--- a/src/serving/placement.ts
+++ b/src/serving/placement.ts
@@ -27,10 +27,10 @@
 /** A placing host answers within two milliseconds; one that takes this long is busy, frozen or cut off. */
 export const SCHEDULER_TIMEOUT_MS = 60;
 /** How long a host that did not answer is not asked again. */
-const DISTRUST_MS = 700;
+const HOST_BACKOFF_MS = 700;
 export const SELF = 'self';
 
-type Waiting = {
+type PendingQuery = {
 	readonly host: string;
 	readonly settle: (decision: PlacementDecision | undefined) => void;
 };
@@ -38,16 +38,16 @@
 /** The asking side. */
 export class PlacementClient {
 	readonly #hosts: SchedulerHosts;
-	readonly #local: Scheduler;
+	readonly #localScheduler: Scheduler;
 	readonly #clock: Clock;
-	readonly #waiting = new Map<string, Waiting>();
-	readonly #owners = new Map<string, string>();
-	readonly #backups = new Map<string, string>();
-	readonly #distrustedUntilMs = new Map<string, number>();
+	readonly #pendingQueries = new Map<string, PendingQuery>();
+	readonly #schedulerHosts = new Map<string, string>();
+	readonly #backupHosts = new Map<string, string>();
+	readonly #avoidedUntilMs = new Map<string, number>();
 
-	constructor(hosts: SchedulerHosts, local: Scheduler, clock: Clock) {
+	constructor(hosts: SchedulerHosts, localScheduler: Scheduler, clock: Clock) {
 		this.#hosts = hosts;
-		this.#local = local;
+		this.#localScheduler = localScheduler;
 		this.#clock = clock;
 	}
 
@@ -59,18 +59,18 @@
 				...request, type: 'offer', parts: [...request.parts], excluded: [...request.excluded],
 			});
 			if (decision) {
-				this.#owners.set(request.id, host);
+				this.#schedulerHosts.set(request.id, host);
 				return {decision, by: host};
 			}
 		}
 
-		this.#owners.set(request.id, SELF);
-		return {decision: this.#local.place(request, this.#clock.monotonicMs()), by: SELF};
+		this.#schedulerHosts.set(request.id, SELF);
+		return {decision: this.#localScheduler.place(request, this.#clock.monotonicMs()), by: SELF};
 	}
 
 	/** Tells that a prompt is read and asks where to go on. */
 	async chooseRunner(request: PlacementRequest, reader: string): Promise<PlacementResult> {
-		const host = this.#owners.get(request.id);
+		const host = this.#schedulerHosts.get(request.id);
 		if (host !== undefined && host !== SELF) {
 			const decision = await this.#ask(host, request.id, {
 				type: 'milestone', id: request.id, stage: MILESTONES.read, server: reader,
@@ -79,20 +79,20 @@
 				return {decision, by: host};
 			}
 
-			this.#owners.set(request.id, SELF);
+			this.#schedulerHosts.set(request.id, SELF);
 		}
 
-		return {decision: this.#local.chooseRunner(request, reader, this.#clock.monotonicMs()), by: SELF};
+		return {decision: this.#localScheduler.chooseRunner(request, reader, this.#clock.monotonicMs()), by: SELF};
 	}
 
 	/** Tells the host that would place next where a request runs, so that it knows what engines hold. */
 	notifyBackup({id, service, parts, promptTokens, outputTokens, patienceMs}: PlacementRequest, reader: string | undefined, runner: string): void {
-		const backup = this.#rankHosts(service).find(host => host !== this.#owners.get(id));
+		const backup = this.#rankHosts(service).find(host => host !== this.#schedulerHosts.get(id));
 		if (backup === undefined) {
 			return;
 		}
 
-		this.#backups.set(id, backup);
+		this.#backupHosts.set(id, backup);
 		this.#hosts.send(backup, {
 			type: 'shadow', id, service, parts: [...parts], promptTokens, outputTokens, patienceMs, runner, ...(reader === undefined ? {} : {reader}),
 		});
@@ -100,18 +100,18 @@
 
 	/** Tells how far a request is. */
 	reportMilestone(id: string, milestone: Exclude<MilestoneName, 'read'>, server: string | undefined): void {
-		const host = this.#owners.get(id);
-		const backup = this.#backups.get(id);
+		const host = this.#schedulerHosts.get(id);
+		const backup = this.#backupHosts.get(id);
 		if (milestone !== MILESTONES.first) {
-			this.#owners.delete(id);
-			this.#backups.delete(id);
+			this.#schedulerHosts.delete(id);
+			this.#backupHosts.delete(id);
 			if (backup !== undefined) {
 				this.#hosts.send(backup, {type: 'milestone', id, stage: MILESTONES.done});
 			}
 		}
 
 		if (host === SELF || host === undefined) {
-			this.#local.recordMilestone(id, milestone, server, this.#clock.monotonicMs());
+			this.#localScheduler.recordMilestone(id, milestone, server, this.#clock.monotonicMs());
 			return;
 		}
 
@@ -126,25 +126,25 @@
 			return;
 		}
 
-		const waiting = this.#waiting.get(message.id);
-		if (waiting?.host === host) {
-			waiting.settle(message);
+		const query = this.#pendingQueries.get(message.id);
+		if (query?.host === host) {
+			query.settle(message);
 		}
 	}
 
 	async #ask(host: string, id: string, message: Message): Promise<PlacementDecision | undefined> {
 		return new Promise(resolve => {
 			const timer = setTimeout(() => {
-				this.#distrustedUntilMs.set(host, this.#clock.monotonicMs() + DISTRUST_MS);
+				this.#avoidedUntilMs.set(host, this.#clock.monotonicMs() + HOST_BACKOFF_MS);
 				settle(undefined);
 			}, SCHEDULER_TIMEOUT_MS);
 			const settle = (decision: PlacementDecision | undefined) => {
 				clearTimeout(timer);
-				this.#waiting.delete(id);
+				this.#pendingQueries.delete(id);
 				resolve(decision);
 			};
 
-			this.#waiting.set(id, {host, settle});
+			this.#pendingQueries.set(id, {host, settle});
 			if (!this.#hosts.send(host, message)) {
 				settle(undefined);
 			}
@@ -155,7 +155,7 @@
 	#rankHosts(service: string): string[] {
 		const nowMs = this.#clock.monotonicMs();
 		return this.#hosts.listLive()
-			.filter(host => (this.#distrustedUntilMs.get(host) ?? 0) <= nowMs)
+			.filter(host => (this.#avoidedUntilMs.get(host) ?? 0) <= nowMs)
 			.map(host => ({host, score: crc32(`${service} ${host}`)}))
 			.toSorted((a, b) => b.score - a.score)
 			.map(({host}) => host);
--- a/src/serving/plaincall.ts
+++ b/src/serving/plaincall.ts
@@ -16,7 +16,7 @@
 type Outcome
 	= | {readonly type: 'answer'; readonly head: ResponseHead; readonly body: Buffer}
 		/** The server says that it did not run the request. */
-		| {readonly type: 'notRun'; readonly isOtherServer: boolean}
+		| {readonly type: 'notRun'; readonly isWrongServer: boolean}
 		/** No byte left for the server. */
 		| {readonly type: 'unsent'}
 		/** It may have run; no whole answer came. */
@@ -25,7 +25,7 @@
 		| {readonly type: 'silent'};
 
 /** Backend servers that a request is tried at without a byte having left. */
-const MAX_UNSENT = 3;
+const MAX_UNSENT_ATTEMPTS = 3;
 /** A repeatable request is tried elsewhere after this multiple of its objective without an answer. */
 const SILENCE_FACTOR = 2.5;
 /** How long callers wait after all servers had refused. */
@@ -33,16 +33,16 @@
 
 /** Runs one call to its end. */
 export class PlainCall {
-	readonly #core: ServingContext;
+	readonly #context: ServingContext;
 	readonly #call: Call;
 	readonly #tried = new Set<string>();
-	#sent = 0;
-	#unsent = 0;
+	#sentCount = 0;
+	#unsentCount = 0;
 	#mayHaveRun = false;
 	#exchange: Exchange | undefined;
 
-	constructor(core: ServingContext, call: Call) {
-		this.#core = core;
+	constructor(context: ServingContext, call: Call) {
+		this.#context = context;
 		this.#call = call;
 		call.caller.onEnd(() => {
 			this.#exchange?.cancel();
@@ -53,55 +53,55 @@
 		const {caller} = this.#call;
 		let last: Outcome | undefined;
 		while (!caller.isEnded) {
-			const server = this.#choose();
+			const server = this.#selectServer();
 			if (!server) {
-				this.#finish(last);
+				this.#endCall(last);
 				return;
 			}
 
 			last = await this.#attempt(server);
-			if (caller.isEnded || this.#settle(last)) {
+			if (caller.isEnded || this.#handleOutcome(last)) {
 				return;
 			}
 		}
 	}
 
 	/** Delivers an answer, or a failure that must not be repeated; false to try again. */
-	#settle(outcome: Outcome): boolean {
-		const isGood = outcome.type === 'answer' && !isServerFault(outcome.head);
-		if (!isGood && this.#mayTryAgain(outcome)) {
+	#handleOutcome(outcome: Outcome): boolean {
+		const isGood = outcome.type === 'answer' && !isServerError(outcome.head);
+		if (!isGood && this.#mayRetry(outcome)) {
 			return false;
 		}
 
-		this.#finish(outcome);
+		this.#endCall(outcome);
 		return true;
 	}
 
 	#deliver(head: ResponseHead, body: Buffer): void {
-		this.#call.caller.respond(head.status, this.#core.protocol.buildResponseHeaders(head.headers), body, head.framing);
+		this.#call.caller.respond(head.status, this.#context.protocol.buildResponseHeaders(head.headers), body, head.framing);
 	}
 
-	#mayTryAgain(outcome: Outcome): boolean {
-		const {route: rule} = this.#call;
-		if (outcome.type === 'unsent' || (outcome.type === 'notRun' && outcome.isOtherServer)) {
-			this.#unsent++;
-			return this.#unsent < MAX_UNSENT && !this.#isLate();
+	#mayRetry(outcome: Outcome): boolean {
+		const {route} = this.#call;
+		if (outcome.type === 'unsent' || (outcome.type === 'notRun' && outcome.isWrongServer)) {
+			this.#unsentCount++;
+			return this.#unsentCount < MAX_UNSENT_ATTEMPTS && !this.#isPastDeadline();
 		}
 
-		const isSafe = outcome.type === 'notRun' ? !this.#mayHaveRun : rule.kind === ROUTE_KINDS.repeatable;
-		return isSafe && this.#sent < rule.maxAttempts && !this.#isLate() && this.#hasOther() && tryAcquireRetry(this.#core, this.#call.service);
+		const isSafe = outcome.type === 'notRun' ? !this.#mayHaveRun : route.kind === ROUTE_KINDS.repeatable;
+		return isSafe && this.#sentCount < route.maxAttempts && !this.#isPastDeadline() && this.#hasOtherServer() && tryAcquireRetry(this.#context, this.#call.service);
 	}
 
-	#isLate(): boolean {
-		return this.#core.clock.monotonicMs() >= this.#call.deadlineMs;
+	#isPastDeadline(): boolean {
+		return this.#context.clock.monotonicMs() >= this.#call.deadlineMs;
 	}
 
-	#hasOther(): boolean {
-		return this.#choose() !== undefined;
+	#hasOtherServer(): boolean {
+		return this.#selectServer() !== undefined;
 	}
 
 	/** Ends the call with the last outcome: a whole answer as it is, otherwise what is true about it. */
-	#finish(outcome: Outcome | undefined): void {
+	#endCall(outcome: Outcome | undefined): void {
 		const {caller} = this.#call;
 		if (outcome?.type === 'answer') {
 			this.#deliver(outcome.head, outcome.body);
@@ -117,16 +117,16 @@
 	}
 
 	/** The server with the least work for its size; the nearer one of two alike. */
-	#choose(): Announcement | undefined {
-		const {clock, health, listServers, loadTracker: loads, random, dataCentre} = this.#core;
+	#selectServer(): Announcement | undefined {
+		const {clock, health, listServers, loadTracker, random, dataCentre} = this.#context;
 		const nowMs = clock.monotonicMs();
 		const all = listServers().filter(server => server.services?.includes(this.#call.service) && !this.#tried.has(server.server));
 		const trusted = all.filter(server => !health.isSuspected(server.server, nowMs));
 		let chosen: Announcement | undefined;
 		let lowest = Number.POSITIVE_INFINITY;
 		for (const server of trusted.length > 0 ? trusted : all) {
-			const load = loads.estimate(server.server).requests / (server.capacity ?? 1);
-			const score = load + (server.dataCentre === dataCentre ? 0 : NEARNESS) + (random() * NEARNESS);
+			const load = loadTracker.estimate(server.server).requests / (server.capacity ?? 1);
+			const score = load + (server.dataCentre === dataCentre ? 0 : LOCALITY_WEIGHT) + (random() * LOCALITY_WEIGHT);
 			if (score < lowest) {
 				lowest = score;
 				chosen = server;
@@ -137,23 +137,23 @@
 	}
 
 	async #attempt(server: Announcement): Promise<Outcome> {
-		const {loadTracker: loads, clock} = this.#core;
-		const {head, logFields: trail} = this.#call;
-		const flight = `${head.id} ${this.#tried.size}`;
+		const {loadTracker, clock} = this.#context;
+		const {head, logFields} = this.#call;
+		const attemptId = `${head.id} ${this.#tried.size}`;
 		this.#tried.add(server.server);
-		trail.servers.push(server.server);
-		loads.startRequest(server.server, flight, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
-		const outcome = await this.#exchangeWith(server);
-		loads.endRequest(server.server, flight);
+		logFields.servers.push(server.server);
+		loadTracker.startRequest(server.server, attemptId, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
+		const outcome = await this.#awaitOutcome(server);
+		loadTracker.endRequest(server.server, attemptId);
 		if (outcome.type !== 'unsent') {
-			this.#sent++;
+			this.#sentCount++;
 		}
 
 		this.#mayHaveRun ||= outcome.type === 'broken' || outcome.type === 'silent';
 		return outcome;
 	}
 
-	async #exchangeWith(server: Announcement): Promise<Outcome> {
+	async #awaitOutcome(server: Announcement): Promise<Outcome> {
 		return new Promise(resolve => {
 			const settle = (outcome: Outcome) => {
 				clearTimeout(timer);
@@ -161,7 +161,7 @@
 			};
 
 			const timer = this.#createSilenceTimer(() => {
-				this.#core.health.recordFailure(server.server, this.#core.clock.monotonicMs());
+				this.#context.health.recordFailure(server.server, this.#context.clock.monotonicMs());
 				this.#exchange?.cancel();
 				settle({type: 'silent'});
 			});
@@ -173,17 +173,17 @@
 	}
 
 	#send(server: Announcement, settle: (outcome: Outcome) => void): Exchange {
-		const core = this.#core;
+		const context = this.#context;
 		const chunks: Buffer[] = [];
 		let head: ResponseHead | undefined;
-		const deadlineMs = this.#call.deadlineMs - core.clock.monotonicMs();
-		return sendAttempt(core, this.#call, {server, phase: 'full', deadlineMs}, {
+		const deadlineMs = this.#call.deadlineMs - context.clock.monotonicMs();
+		return sendAttempt(context, this.#call, {server, phase: 'full', deadlineMs}, {
 			onHead: (status, headers) => {
-				head = core.protocol.parseResponse(status, headers);
+				head = context.protocol.parseResponse(status, headers);
 				this.#noteLoad(server, head);
 				const mismatch = findResponseMismatch(this.#call, head);
 				if (mismatch !== undefined) {
-					core.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
+					context.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
 					this.#exchange?.cancel();
 					settle({type: 'broken'});
 				}
@@ -192,13 +192,13 @@
 				chunks.push(chunk);
 			},
 			onEnd() {
-				core.health.recordSuccess(server.server);
+				context.health.recordSuccess(server.server);
 				settle(head!.isNotExecuted || head!.isWrongServer
-					? {type: 'notRun', isOtherServer: head!.isWrongServer}
+					? {type: 'notRun', isWrongServer: head!.isWrongServer}
 					: {type: 'answer', head: head!, body: Buffer.concat(chunks)});
 			},
 			onFailure(failure, error) {
-				recordAttemptFailure(core, server, failure, error);
+				recordAttemptFailure(context, server, failure, error);
 				settle({type: failure});
 			},
 		});
@@ -207,22 +207,22 @@
 	#noteLoad(server: Announcement, {load}: ResponseHead): void {
 		if (load) {
 			const {running, waiting} = load;
-			this.#core.loadTracker.recordReport(server.server, {
+			this.#context.loadTracker.recordReport(server.server, {
 				running, waiting, prefillTokens: 0, decodeTokens: 0,
-			}, this.#core.clock.monotonicMs());
+			}, this.#context.clock.monotonicMs());
 		}
 	}
 
 	#createSilenceTimer(onSilence: () => void): NodeJS.Timeout | undefined {
-		const {route: rule} = this.#call;
-		const mayGoElsewhere = rule.kind === ROUTE_KINDS.repeatable && this.#sent + 1 < rule.maxAttempts;
-		return mayGoElsewhere ? setTimeout(onSilence, rule.objectiveMs * SILENCE_FACTOR) : undefined;
+		const {route} = this.#call;
+		const mayRetryElsewhere = route.kind === ROUTE_KINDS.repeatable && this.#sentCount + 1 < route.maxAttempts;
+		return mayRetryElsewhere ? setTimeout(onSilence, route.objectiveMs * SILENCE_FACTOR) : undefined;
 	}
 }
 
 /** Weight of standing in the same data centre against load; also spreads servers that look alike. */
-const NEARNESS = 0.02;
+const LOCALITY_WEIGHT = 0.02;
 
-function isServerFault({status}: ResponseHead): boolean {
+function isServerError({status}: ResponseHead): boolean {
 	return status >= 500;
 }
--- a/src/serving/streamcall.ts
+++ b/src/serving/streamcall.ts
@@ -16,12 +16,12 @@
 import {EventSplitter} from './events.js';
 import type {Exchange} from './upstream.js';
 
-type ReadOutcome
-	= | {readonly type: 'read'; readonly reading: KvCacheHandle}
+type PrefillOutcome
+	= | {readonly type: 'read'; readonly kvCache: KvCacheHandle}
 		| {readonly type: 'failed'};
 
 type RunOutcome
-	= | {readonly type: 'done'; readonly isServerFault: boolean}
+	= | {readonly type: 'done'; readonly isServerError: boolean}
 		| {readonly type: 'notRun'}
 		| {readonly type: 'unsent'}
 		| {readonly type: 'broken'}
@@ -29,41 +29,41 @@
 		| {readonly type: 'denied'};
 
 /** Callers give a stream up after two seconds, or four times its objective, without an event. */
-const LEAST_PATIENCE_MS = 2000;
+const MIN_PATIENCE_MS = 2000;
 const PATIENCE_FACTOR = 4;
 /** Placings of one request before it is given up. */
-const MAX_PLACINGS = 4;
+const MAX_PLACEMENTS = 4;
 /** A reader that needs this multiple of what was expected is given up, but not before this time, milliseconds. */
-const READ_TIMEOUT_FACTOR = 3;
-const LEAST_READ_TIMEOUT_MS = 700;
+const PREFILL_TIMEOUT_FACTOR = 3;
+const MIN_PREFILL_TIMEOUT_MS = 700;
 const FAILED_RETRY_SECONDS = 0.5;
 const HTTP_OK = 200;
-const SERVER_FAULT = 500;
+const HTTP_SERVER_ERROR = 500;
 
 /** Runs one call to its end. */
 export class StreamCall {
-	readonly #core: ServingContext;
+	readonly #context: ServingContext;
 	readonly #call: Call;
 	readonly #prompt: Prompt;
 	readonly #excluded = new Set<string>();
 	readonly #splitter: EventSplitter | undefined;
 	#exchange: Exchange | undefined;
-	#reading: KvCacheHandle | undefined;
-	#placings = 0;
-	#reads = 0;
-	#runs = 0;
-	#hasFirst = false;
+	#kvCache: KvCacheHandle | undefined;
+	#placementCount = 0;
+	#prefillCount = 0;
+	#runCount = 0;
+	#hasFirstEvent = false;
 	#mayHaveRun = false;
-	#partSource: Announcement | undefined;
+	#kvSource: Announcement | undefined;
 
-	constructor(core: ServingContext, call: Call, prompt: Prompt) {
-		this.#core = core;
+	constructor(context: ServingContext, call: Call, prompt: Prompt) {
+		this.#context = context;
 		this.#call = call;
 		this.#prompt = prompt;
 		this.#splitter = call.route.isResumable ? new EventSplitter() : undefined;
 		call.caller.onEnd(() => {
 			this.#exchange?.cancel();
-			this.#release();
+			this.#releaseKvCache();
 		});
 	}
 
@@ -77,7 +77,7 @@
 
 			const outcome = await this.#runAt(runner);
 			if (outcome.type === 'done') {
-				this.#core.placement.reportMilestone(this.#call.head.id, outcome.isServerFault ? 'failed' : 'done', outcome.isServerFault ? runner.server : undefined);
+				this.#context.placement.reportMilestone(this.#call.head.id, outcome.isServerError ? 'failed' : 'done', outcome.isServerError ? runner.server : undefined);
 				return;
 			}
 
@@ -86,68 +86,68 @@
 			}
 
 			this.#mayHaveRun ||= outcome.type === 'broken';
-			this.#core.placement.reportMilestone(this.#call.head.id, outcome.type === 'notRun' ? 'refused' : 'failed', runner.server);
+			this.#context.placement.reportMilestone(this.#call.head.id, outcome.type === 'notRun' ? 'refused' : 'failed', runner.server);
 			this.#excluded.add(runner.server);
-			const problem = this.#judge(outcome);
+			const problem = this.#findFinalProblem(outcome);
 			if (problem) {
 				caller.fail(problem);
 				return;
 			}
 		}
 
-		this.#core.placement.reportMilestone(this.#call.head.id, 'failed', undefined);
+		this.#context.placement.reportMilestone(this.#call.head.id, 'failed', undefined);
 	}
 
 	/** Finds the engine that runs the request, with its prompt read ahead where that is quicker. */
 	async #place(): Promise<Announcement | undefined> {
-		const {caller, logFields: trail} = this.#call;
+		const {caller, logFields} = this.#call;
 		while (!caller.isEnded) {
-			if (this.#placings++ >= MAX_PLACINGS) {
-				caller.fail(this.#createFailure());
+			if (this.#placementCount++ >= MAX_PLACEMENTS) {
+				caller.fail(this.#createFailureProblem());
 				return undefined;
 			}
 
-			let {decision, by} = await this.#core.placement.place(this.#createRequest());
-			trail.placedBy = by;
-			trail.placedMs = this.#elapsedMs();
-			this.#partSource = decision.type === 'assignment' && decision.source !== undefined ? this.#core.findServer(decision.source) : undefined;
-			trail.source = this.#partSource?.server;
+			let {decision, by} = await this.#context.placement.place(this.#createRequest());
+			logFields.placedBy = by;
+			logFields.placedMs = this.#elapsedMs();
+			this.#kvSource = decision.type === 'assignment' && decision.source !== undefined ? this.#context.findServer(decision.source) : undefined;
+			logFields.source = this.#kvSource?.server;
 			if (decision.type === 'assignment') {
-				trail.cachedTokens = decision.cachedTokens;
-				trail.expectedMs = decision.expectedMs;
-				trail.isLate = decision.isLate;
+				logFields.cachedTokens = decision.cachedTokens;
+				logFields.expectedMs = decision.expectedMs;
+				logFields.isLate = decision.isLate;
 			}
 
-			trail.promptTokens = this.#prompt.promptTokens;
+			logFields.promptTokens = this.#prompt.promptTokens;
 			if (decision.type === 'assignment' && decision.reader !== undefined) {
-				const reader = this.#core.findServer(decision.reader);
-				const outcome = reader && !caller.isEnded ? await this.#readAt(reader, decision.expectedMs ?? 0) : undefined;
+				const reader = this.#context.findServer(decision.reader);
+				const outcome = reader && !caller.isEnded ? await this.#prefillAt(reader, decision.expectedMs ?? 0) : undefined;
 				if (caller.isEnded) {
 					return undefined;
 				}
 
 				if (outcome?.type !== 'read') {
-					this.#core.placement.reportMilestone(this.#call.head.id, 'failed', decision.reader);
+					this.#context.placement.reportMilestone(this.#call.head.id, 'failed', decision.reader);
 					this.#excluded.add(decision.reader);
 					continue;
 				}
 
-				this.#reading = outcome.reading;
-				trail.readMs = this.#elapsedMs();
-				({decision, by} = await this.#core.placement.chooseRunner(this.#createRequest(), decision.reader));
+				this.#kvCache = outcome.kvCache;
+				logFields.readMs = this.#elapsedMs();
+				({decision, by} = await this.#context.placement.chooseRunner(this.#createRequest(), decision.reader));
 			}
 
-			this.#core.metrics.placements.inc({by});
+			this.#context.metrics.placements.inc({by});
 			if (decision.type === 'rejection') {
 				const seconds = Math.ceil(decision.retryAfterMs / 100) / 10;
-				trail.note = decision.reason;
+				logFields.note = decision.reason;
 				caller.fail(this.#mayHaveRun ? createProblem('serverFailed') : createProblem('tooLate', decision.reason, seconds));
 				return undefined;
 			}
 
-			const runner = decision.runner === undefined ? undefined : this.#core.findServer(decision.runner);
+			const runner = decision.runner === undefined ? undefined : this.#context.findServer(decision.runner);
 			if (runner) {
-				this.#core.placement.notifyBackup(this.#createRequest(), trail.reader, runner.server);
+				this.#context.placement.notifyBackup(this.#createRequest(), logFields.reader, runner.server);
 				return runner;
 			}
 		}
@@ -156,53 +156,53 @@
 	}
 
 	#createRequest(): PlacementRequest {
-		const {head, route: rule, service, arrivedMs, deadlineMs} = this.#call;
-		const nowMs = this.#core.clock.monotonicMs();
-		const patienceMs = Math.max(LEAST_PATIENCE_MS, rule.objectiveMs * PATIENCE_FACTOR);
+		const {head, route, service, arrivedMs, deadlineMs} = this.#call;
+		const nowMs = this.#context.clock.monotonicMs();
+		const patienceMs = Math.max(MIN_PATIENCE_MS, route.objectiveMs * PATIENCE_FACTOR);
 		return {
 			id: head.id,
 			service,
-			dataCentre: this.#core.dataCentre,
+			dataCentre: this.#context.dataCentre,
 			parts: this.#prompt.parts,
 			promptTokens: this.#prompt.promptTokens,
 			outputTokens: this.#prompt.outputTokens,
-			priority: rule.priority,
-			objectiveMs: Math.max(0, arrivedMs + rule.objectiveMs - nowMs),
+			priority: route.priority,
+			objectiveMs: Math.max(0, arrivedMs + route.objectiveMs - nowMs),
 			patienceMs: Math.max(0, Math.min(deadlineMs, arrivedMs + patienceMs) - nowMs),
 			excluded: [...this.#excluded],
 		};
 	}
 
 	/** Has the prompt read ahead of the run. */
-	async #readAt(server: Announcement, expectedMs: number): Promise<ReadOutcome> {
-		const core = this.#core;
-		if (this.#reads > 0 && !tryAcquireRetry(this.#core, this.#call.service)) {
+	async #prefillAt(server: Announcement, expectedMs: number): Promise<PrefillOutcome> {
+		const context = this.#context;
+		if (this.#prefillCount > 0 && !tryAcquireRetry(this.#context, this.#call.service)) {
 			return {type: 'failed'};
 		}
 
-		this.#reads++;
+		this.#prefillCount++;
 		this.#call.logFields.reader = server.server;
 		return new Promise(resolve => {
 			const chunks: Buffer[] = [];
 			let head: ResponseHead | undefined;
 			// Reading may be repeated, so a reader that is long overdue is given up.
 			const timer = setTimeout(() => {
-				core.logger.warn(`Server ${server.server} is overdue with a prompt.`, {request: this.#call.head.id, server: server.server, expectedMs});
+				context.logger.warn(`Server ${server.server} is overdue with a prompt.`, {request: this.#call.head.id, server: server.server, expectedMs});
 				this.#exchange?.cancel();
 				resolve({type: 'failed'});
-			}, Math.max(LEAST_READ_TIMEOUT_MS, expectedMs * READ_TIMEOUT_FACTOR));
+			}, Math.max(MIN_PREFILL_TIMEOUT_MS, expectedMs * PREFILL_TIMEOUT_FACTOR));
 			this.#call.caller.onEnd(() => {
 				clearTimeout(timer);
 				resolve({type: 'failed'});
 			});
-			this.#exchange = sendAttempt(core, this.#call, {
-				server, phase: 'prefill', deadlineMs: this.#leftMs(), priority: this.#priority(), kvSource: this.#partSource,
+			this.#exchange = sendAttempt(context, this.#call, {
+				server, phase: 'prefill', deadlineMs: this.#remainingMs(), priority: this.#priority(), kvSource: this.#kvSource,
 			}, {
 				onHead: (status, headers) => {
-					head = core.protocol.parseResponse(status, headers);
+					head = context.protocol.parseResponse(status, headers);
 					const mismatch = findResponseMismatch(this.#call, head);
 					if (mismatch !== undefined) {
-						core.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
+						context.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
 						this.#exchange?.cancel();
 						resolve({type: 'failed'});
 					}
@@ -212,19 +212,19 @@
 				},
 				onEnd() {
 					clearTimeout(timer);
-					const handle = head?.status === 200 ? core.protocol.parseKvHandle(Buffer.concat(chunks)) : undefined;
+					const handle = head?.status === 200 ? context.protocol.parseKvHandle(Buffer.concat(chunks)) : undefined;
 					if (handle === undefined) {
-						core.logger.warn(`Server ${server.server} did not read a prompt.`, {server: server.server, status: head?.status});
+						context.logger.warn(`Server ${server.server} did not read a prompt.`, {server: server.server, status: head?.status});
 						resolve({type: 'failed'});
 						return;
 					}
 
-					core.health.recordSuccess(server.server);
-					resolve({type: 'read', reading: {address: {address: server.address, port: server.port}, handle}});
+					context.health.recordSuccess(server.server);
+					resolve({type: 'read', kvCache: {address: {address: server.address, port: server.port}, handle}});
 				},
 				onFailure(failure, error) {
 					clearTimeout(timer);
-					recordAttemptFailure(core, server, failure, error);
+					recordAttemptFailure(context, server, failure, error);
 					resolve({type: 'failed'});
 				},
 			});
@@ -232,16 +232,16 @@
 	}
 
 	async #runAt(server: Announcement): Promise<RunOutcome> {
-		const core = this.#core;
-		const {caller, logFields: trail} = this.#call;
-		if (this.#runs > 0 && !tryAcquireRetry(this.#core, this.#call.service)) {
+		const context = this.#context;
+		const {caller, logFields} = this.#call;
+		if (this.#runCount > 0 && !tryAcquireRetry(this.#context, this.#call.service)) {
 			return {type: 'denied'};
 		}
 
-		this.#runs++;
-		trail.servers.push(server.server);
-		const reading = this.#reading;
-		this.#reading = undefined;
+		this.#runCount++;
+		logFields.servers.push(server.server);
+		const kvCache = this.#kvCache;
+		this.#kvCache = undefined;
 		this.#splitter?.takeIncomplete();
 		const lastEventId = this.#splitter?.lastEventId ?? this.#call.head.lastEventId;
 		return new Promise(resolve => {
@@ -249,20 +249,20 @@
 			caller.onEnd(() => {
 				resolve({type: 'broken'});
 			});
-			this.#exchange = sendAttempt(core, this.#call, {
+			this.#exchange = sendAttempt(context, this.#call, {
 				server,
-				phase: reading ? 'decode' : 'full',
-				deadlineMs: this.#leftMs(),
-				kvCache: reading,
+				phase: kvCache ? 'decode' : 'full',
+				deadlineMs: this.#remainingMs(),
+				kvCache,
 				lastEventId,
 				priority: this.#priority(),
-				kvSource: reading ? undefined : this.#partSource,
+				kvSource: kvCache ? undefined : this.#kvSource,
 			}, {
 				onHead: (status, headers) => {
-					head = core.protocol.parseResponse(status, headers);
+					head = context.protocol.parseResponse(status, headers);
 					const mismatch = findResponseMismatch(this.#call, head);
 					if (mismatch !== undefined) {
-						core.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
+						context.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
 						this.#exchange?.cancel();
 						resolve({type: 'broken'});
 						return;
@@ -272,14 +272,14 @@
 						return;
 					}
 
-					if (status >= SERVER_FAULT && this.#mayRepeat()) {
+					if (status >= HTTP_SERVER_ERROR && this.#mayResume()) {
 						this.#exchange?.cancel();
 						resolve({type: 'broken'});
 						return;
 					}
 
 					if (!caller.hasStartedResponse) {
-						caller.startResponse(status, core.protocol.buildResponseHeaders(headers), head.framing);
+						caller.startResponse(status, context.protocol.buildResponseHeaders(headers), head.framing);
 					} else if (status !== HTTP_OK) {
 						this.#exchange?.cancel();
 						resolve({type: 'broken'});
@@ -296,17 +296,17 @@
 						return;
 					}
 
-					core.health.recordSuccess(server.server);
+					context.health.recordSuccess(server.server);
 					const rest = this.#splitter?.takeIncomplete();
 					if (rest && rest.length > 0) {
 						caller.write(rest, () => undefined);
 					}
 
 					caller.endResponse();
-					resolve({type: 'done', isServerFault: head.status >= SERVER_FAULT});
+					resolve({type: 'done', isServerError: head.status >= HTTP_SERVER_ERROR});
 				},
 				onFailure(failure, error) {
-					recordAttemptFailure(core, server, failure, error);
+					recordAttemptFailure(context, server, failure, error);
 					resolve({type: failure});
 				},
 			});
@@ -314,11 +314,11 @@
 	}
 
 	#forward(chunk: Buffer, isStream: boolean): void {
-		const {caller, head, logFields: trail} = this.#call;
-		if (!this.#hasFirst && isStream) {
-			this.#hasFirst = true;
-			trail.firstMs = this.#elapsedMs();
-			this.#core.placement.reportMilestone(head.id, 'first', undefined);
+		const {caller, head, logFields} = this.#call;
+		if (!this.#hasFirstEvent && isStream) {
+			this.#hasFirstEvent = true;
+			logFields.firstMs = this.#elapsedMs();
+			this.#context.placement.reportMilestone(head.id, 'first', undefined);
 		}
 
 		const whole = this.#splitter && isStream ? this.#splitter.push(chunk) : chunk;
@@ -332,53 +332,53 @@
 	}
 
 	/** The problem to end with after a run that failed; undefined to try again. */
-	#judge(outcome: RunOutcome): Problem | undefined {
-		const {route: rule} = this.#call;
+	#findFinalProblem(outcome: RunOutcome): Problem | undefined {
+		const {route} = this.#call;
 		switch (outcome.type) {
 			case 'unsent': {
-				this.#runs--;
+				this.#runCount--;
 				return undefined;
 			}
 
 			case 'notRun': {
-				return this.#runs <= rule.maxAttempts ? undefined : this.#createFailure();
+				return this.#runCount <= route.maxAttempts ? undefined : this.#createFailureProblem();
 			}
 
 			case 'denied': {
-				return this.#createFailure();
+				return this.#createFailureProblem();
 			}
 
 			default: {
-				return this.#mayRepeat() ? undefined : this.#createFailure();
+				return this.#mayResume() ? undefined : this.#createFailureProblem();
 			}
 		}
 	}
 
 	/** Whether a run that failed may go on at another engine. */
-	#mayRepeat(): boolean {
-		const {route: rule} = this.#call;
-		return rule.isResumable && this.#runs < rule.maxAttempts;
+	#mayResume(): boolean {
+		const {route} = this.#call;
+		return route.isResumable && this.#runCount < route.maxAttempts;
 	}
 
 	/** What the caller is told: that nothing ran, if that is sure. */
-	#createFailure(): Problem {
+	#createFailureProblem(): Problem {
 		return this.#mayHaveRun ? createProblem('serverFailed') : createProblem('notStarted', undefined, FAILED_RETRY_SECONDS);
 	}
 
 	/** Frees a read prompt that nobody will take. */
-	#release(): void {
-		const reading = this.#reading;
-		this.#reading = undefined;
-		if (!reading) {
+	#releaseKvCache(): void {
+		const kvCache = this.#kvCache;
+		this.#kvCache = undefined;
+		if (!kvCache) {
 			return;
 		}
 
 		const ignore = () => undefined;
-		this.#core.upstream.send({
-			address: reading.address, ...this.#core.protocol.buildReleaseRequest(reading), headers: [], body: null, maxConnections: 1,
+		this.#context.upstream.send({
+			address: kvCache.address, ...this.#context.protocol.buildReleaseRequest(kvCache), headers: [], body: null, maxConnections: 1,
 		}, {
 			onHead: ignore, onData: ignore, onEnd: ignore, onFailure: (failure, error) => {
-				this.#core.logger.warn(`Could not free a read prompt: ${error.message}`, {failure});
+				this.#context.logger.warn(`Could not free a read prompt: ${error.message}`, {failure});
 			},
 		});
 	}
@@ -388,11 +388,11 @@
 		return this.#call.logFields.isLate === true ? LATE_PRIORITY : this.#call.route.priority;
 	}
 
-	#leftMs(): number {
-		return this.#call.deadlineMs - this.#core.clock.monotonicMs();
+	#remainingMs(): number {
+		return this.#call.deadlineMs - this.#context.clock.monotonicMs();
 	}
 
 	#elapsedMs(): number {
-		return Math.round(this.#core.clock.monotonicMs() - this.#call.arrivedMs);
+		return Math.round(this.#context.clock.monotonicMs() - this.#call.arrivedMs);
 	}
 }
--- a/src/serving/upstream.ts
+++ b/src/serving/upstream.ts
@@ -49,30 +49,30 @@
 export const CONNECT_TIMEOUT_MS = 600;
 /** Idle connections are given up before the servers of either user do. */
 const IDLE_MS = 4000;
-const IDLE_MOST_MS = 30_000;
+const MAX_IDLE_MS = 30_000;
 /** Margin between a server's announced idle time and ours. */
 const IDLE_MARGIN_MS = 1000;
 /** Largest head of an answer, bytes. */
-const HEAD_BYTES = 32_768;
+const MAX_HEAD_BYTES = 32_768;
 
 /** The connections of one host to all backend servers. Whoever created it closes it. */
 export class Upstream {
 	readonly #pools = new Map<string, Pool>();
 
 	/** Sends a request and reports what comes back. */
-	send(request: UpstreamRequest, sink: ResponseHandler): Exchange {
-		const exchange = new UpstreamExchange(sink);
-		const options: LineOptions = {
+	send(request: UpstreamRequest, responseHandler: ResponseHandler): Exchange {
+		const exchange = new UpstreamExchange(responseHandler);
+		const options: TrackedDispatchOptions = {
 			method: request.method,
 			path: request.path,
 			headers: request.headers,
 			body: request.body,
-			onLine(line) {
-				exchange.line = line;
+			onConnection(connection) {
+				exchange.connection = connection;
 			},
 		};
-		this.#poolOf(request).dispatch(options, exchange.handler);
-		exchange.awaitSending();
+		this.#getPool(request).dispatch(options, exchange.handler);
+		exchange.startSendTimeout();
 		return exchange;
 	}
 
@@ -92,20 +92,20 @@
 		this.#pools.clear();
 	}
 
-	#poolOf({address, maxConnections}: UpstreamRequest): Pool {
+	#getPool({address, maxConnections}: UpstreamRequest): Pool {
 		const key = `${address.address}:${address.port}`;
 		let pool = this.#pools.get(key);
 		if (!pool) {
 			pool = new Pool(`http://${key}`, {
-				factory: (origin, options) => new Line(origin, options),
+				factory: (origin, options) => new TrackedConnection(origin, options),
 				connections: maxConnections,
 				pipelining: 1,
 				headersTimeout: 0,
 				bodyTimeout: 0,
 				keepAliveTimeout: IDLE_MS,
-				keepAliveMaxTimeout: IDLE_MOST_MS,
+				keepAliveMaxTimeout: MAX_IDLE_MS,
 				keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
-				maxHeaderSize: HEAD_BYTES,
+				maxHeaderSize: MAX_HEAD_BYTES,
 				strictContentLength: true,
 			});
 			this.#pools.set(key, pool);
@@ -115,16 +115,16 @@
 	}
 }
 
-type LineOptions = Dispatcher.DispatchOptions & {
+type TrackedDispatchOptions = Dispatcher.DispatchOptions & {
 	/** Called with the line that takes the request. */
-	readonly onLine: (line: Line) => void;
+	readonly onConnection: (connection: TrackedConnection) => void;
 };
 
 /**
  * One connection to a server. It knows whether the connection was reset, which the library does not tell: an answer
  * without a length that is cut off by a reset would look whole.
  */
-class Line extends Client {
+class TrackedConnection extends Client {
 	#isReset = false;
 
 	constructor(origin: string | URL, options: Client.Options) {
@@ -141,7 +141,7 @@
 	}
 
 	override dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): boolean {
-		(options as LineOptions).onLine(this);
+		(options as TrackedDispatchOptions).onConnection(this);
 		return super.dispatch(options, handler);
 	}
 
@@ -169,34 +169,34 @@
 }
 
 class UpstreamExchange implements Exchange {
-	line: Line | undefined;
+	connection: TrackedConnection | undefined;
 	readonly handler: Dispatcher.DispatchHandler;
-	readonly #sink: ResponseHandler;
+	readonly #responseHandler: ResponseHandler;
 	#controller: Dispatcher.DispatchController | undefined;
 	#timer: NodeJS.Timeout | undefined;
-	#isOver = false;
+	#isEnded = false;
 
-	constructor(sink: ResponseHandler) {
-		this.#sink = sink;
+	constructor(responseHandler: ResponseHandler) {
+		this.#responseHandler = responseHandler;
 		this.handler = {
 			onRequestStart: controller => {
 				this.#start(controller);
 			},
 			onResponseStart: (_controller, status, headers) => {
-				if (!this.#isOver && status >= 200) {
-					sink.onHead(status, headers);
+				if (!this.#isEnded && status >= 200) {
+					responseHandler.onHead(status, headers);
 				}
 			},
 			onResponseData: (_controller, chunk) => {
-				if (!this.#isOver) {
-					sink.onData(chunk);
+				if (!this.#isEnded) {
+					responseHandler.onData(chunk);
 				}
 			},
 			onResponseEnd: () => {
-				if (this.line?.isReset) {
+				if (this.connection?.isReset) {
 					this.#fail(new Error('The connection was reset before the answer ended.'));
-				} else if (this.#finish()) {
-					sink.onEnd();
+				} else if (this.#end()) {
+					responseHandler.onEnd();
 				}
 			},
 			onResponseError: (_controller, error) => {
@@ -210,8 +210,8 @@
 	}
 
 	/** Gives up if no connection takes the request in time. */
-	awaitSending(): void {
-		if (!this.#controller && !this.#isOver) {
+	startSendTimeout(): void {
+		if (!this.#controller && !this.#isEnded) {
 			this.#timer = setTimeout(() => {
 				this.#fail(new Error('No connection took the request in time.'));
 			}, CONNECT_TIMEOUT_MS);
@@ -219,7 +219,7 @@
 	}
 
 	cancel(): void {
-		if (this.#finish()) {
+		if (this.#end()) {
 			this.#controller?.abort(new Error('Cancelled.'));
 		}
 	}
@@ -234,7 +234,7 @@
 
 	#start(controller: Dispatcher.DispatchController): void {
 		clearTimeout(this.#timer);
-		if (this.#isOver) {
+		if (this.#isEnded) {
 			controller.abort(new Error('Cancelled before it was sent.'));
 			return;
 		}
@@ -244,15 +244,15 @@
 
 	#fail(error: Error): void {
 		const failure = this.isSent ? ATTEMPT_FAILURES.broken : ATTEMPT_FAILURES.unsent;
-		if (this.#finish()) {
-			this.#sink.onFailure(failure, error);
+		if (this.#end()) {
+			this.#responseHandler.onFailure(failure, error);
 		}
 	}
 
-	#finish(): boolean {
+	#end(): boolean {
 		clearTimeout(this.#timer);
-		const isFirst = !this.#isOver;
-		this.#isOver = true;
+		const isFirst = !this.#isEnded;
+		this.#isEnded = true;
 		return isFirst;
 	}
 }
