--- a/src/routing/admission.ts
+++ b/src/routing/admission.ts
@@ -1,8 +1,8 @@
 /**
- * Admission: how much work goes to the engines at once, and whose comes next.
+ * Admission control: limits the work in flight at the engines and orders the requests that wait.
  *
- * Waiting requests are served by weighted fair queueing over teams (virtual finish times by estimated tokens); a
- * request whose deadline cannot be met is refused at once.
+ * Waiting requests are scheduled by weighted fair queueing across teams (virtual finish times from estimated tokens).
+ * A request whose start deadline cannot be met is refused at once.
  *
  * @module
  */
@@ -12,9 +12,9 @@
 	readonly weight: number;
 	/** Estimated cost, tokens. */
 	readonly tokens: number;
-	/** Most tokens of the team in flight at this host. */
+	/** Maximum tokens of the team in flight at this host. */
 	readonly teamTokenLimit: number;
-	/** Monotonic time at which waiting makes no sense any more, milliseconds. */
+	/** Monotonic time after which the request is refused if it has not started, milliseconds. */
 	readonly latestStartMs: number;
 };
 
@@ -24,7 +24,7 @@
 
 type QueuedRequest = AdmissionRequest & {readonly finishTag: number};
 
-/** Decides which requests run. A step machine: time is handed in. */
+/** Decides which requests start. Performs no I/O; the caller passes the current time. */
 export class AdmissionController {
 	readonly #running = new Map<string, AdmissionRequest>();
 	readonly #teamTokens = new Map<string, number>();
@@ -32,7 +32,7 @@
 	#waiting: QueuedRequest[] = [];
 	#runningTokens = 0;
 	#virtualTime = 0;
-	/** Tokens finished in the last seconds, as a rate. */
+	/** Moving average of the rate of completed tokens over the last seconds. */
 	#tokensPerMs = 0;
 	#rateUpdatedMs = 0;
 
@@ -44,7 +44,7 @@
 		return this.#running.size;
 	}
 
-	/** Offers a request; its start or refusal may come at once or later. */
+	/** Submits a request. Its start or refusal is among the events returned now or by a later call. */
 	submit(request: AdmissionRequest, capacityTokens: number, nowMs: number): AdmissionEvent[] {
 		if (request.tokens > request.teamTokenLimit) {
 			return [{
@@ -66,7 +66,7 @@
 		return this.dispatch(capacityTokens, nowMs);
 	}
 
-	/** Notes that a request has ended, however it did. */
+	/** Removes a request that has ended, with or without success, and starts waiting ones. */
 	complete(id: string, capacityTokens: number, nowMs: number): AdmissionEvent[] {
 		const request = this.#running.get(id);
 		if (!request) {
@@ -81,7 +81,7 @@
 		return this.dispatch(capacityTokens, nowMs);
 	}
 
-	/** Starts what fits and refuses what has waited too long. */
+	/** Starts the waiting requests that fit and refuses those whose start deadline has passed. */
 	dispatch(capacityTokens: number, nowMs: number): AdmissionEvent[] {
 		const events: AdmissionEvent[] = [];
 		for (const expired of this.#waiting.filter(waiting => waiting.latestStartMs < nowMs)) {
@@ -113,8 +113,8 @@
 
 	#fits(request: AdmissionRequest, capacityTokens: number): boolean {
 		const team = this.#teamTokens.get(request.team) ?? 0;
-		const fitsFleet = this.#runningTokens + request.tokens <= capacityTokens || this.#running.size === 0;
-		return fitsFleet && team + request.tokens <= request.teamTokenLimit;
+		const fitsCapacity = this.#runningTokens + request.tokens <= capacityTokens || this.#running.size === 0;
+		return fitsCapacity && team + request.tokens <= request.teamTokenLimit;
 	}
 
 	#start(waiting: QueuedRequest): void {
@@ -152,13 +152,14 @@
 const MIN_SHARE = 0.1;
 
 /**
- * How much of a target may be promised: falls fast when admitted work comes late, and rises slowly while it is on
- * time. Corrects estimates that are made from stale reports.
+ * Share of a latency target that an estimate may use for a request to be admitted. Decreases multiplicatively when an
+ * admitted request is late and increases additively while requests are on time, which corrects for estimates that are
+ * based on stale load reports.
  */
 export class AdmissionMargin {
 	#share = 1;
 
-	/** Share of the target that an estimate may use up. */
+	/** Share of the target that an estimate may use, between 0.1 and 1. */
 	get share(): number {
 		return this.#share;
 	}
--- a/src/routing/budget.ts
+++ b/src/routing/budget.ts
@@ -1,18 +1,18 @@
 /**
- * This host's share of the repeats that a service bears: what all hosts send beyond the first of each request stays
- * within a share of the requests and a fixed allowance, in every window.
+ * Per-service retry budget. In every time window, the retries of all hosts together stay within a ratio of the
+ * requests plus a fixed allowance, so that retries cannot overload a service. Each host enforces its own share.
  *
  * @module
  */
 export type RetryBudgetLimits = {
-	/** Repeats for each request. */
+	/** Retries allowed per request. */
 	readonly ratio: number;
-	/** Repeats that all hosts together may send beside that in one window. */
+	/** Additional retries that all hosts together may send in one window. */
 	readonly allowance: number;
 	readonly windowMs: number;
 };
 
-/** Part of the budget that is given out; the rest covers windows that are cut differently. */
+/** Share of the budget that is granted. The rest is a margin for windows that are not aligned with those of the hosts. */
 const SAFE_SHARE = 0.5;
 
 type SlidingWindow = {
@@ -20,7 +20,7 @@
 	readonly retries: number[];
 };
 
-/** Counts requests and repeats by service. A step machine: time is handed in. */
+/** Counts requests and retries by service in a sliding window. Performs no I/O; the caller passes the current time. */
 export class ServiceRetryBudget {
 	#limits: RetryBudgetLimits;
 	readonly #services = new Map<string, SlidingWindow>();
@@ -30,12 +30,12 @@
 		this.#limits = limits;
 	}
 
-	/** Replaces the limits; what was counted stays counted. */
+	/** Replaces the limits and keeps the counts. */
 	updateLimits(limits: RetryBudgetLimits): void {
 		this.#limits = limits;
 	}
 
-	/** Takes the number of hosts that share the allowance. */
+	/** Sets the number of hosts among which the allowance is divided. */
 	setHostCount(hosts: number): void {
 		this.#hosts = Math.max(1, hosts);
 	}
@@ -44,7 +44,7 @@
 		this.#getWindow(service, nowMs).requests.push(nowMs);
 	}
 
-	/** Takes one repeat if the budget allows it. */
+	/** Consumes one retry; returns false if the budget is exhausted. */
 	tryAcquire(service: string, nowMs: number): boolean {
 		const {requests, retries} = this.#getWindow(service, nowMs);
 		const {ratio, allowance} = this.#limits;
--- a/src/routing/choice.ts
+++ b/src/routing/choice.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses the engine for a request: a pure function of what is known.
+ * Cost-based choice of an engine for a request. Pure functions without state.
  *
  * @module
  */
@@ -9,46 +9,51 @@
 export const ENGINE_ROLES = {prefill: 'prefill', decode: 'decode', mixed: 'mixed'} as const;
 export type EngineRole = keyof typeof ENGINE_ROLES;
 
-/** How fast an engine is, learned from its answers. */
+/** Speed of an engine. */
 export type EngineSpeed = {
 	readonly prefillTokensPerMs: number;
-	/** Time of one decode step with an empty batch, milliseconds. */
+	/** Duration of a decode step with an empty batch, milliseconds. */
 	readonly stepMs: number;
-	/** Time that each running request adds to a step, milliseconds. */
+	/** Time that each running request adds to a decode step, milliseconds. */
 	readonly stepMsPerRequest: number;
 };
 
 export const DEFAULT_ENGINE_SPEED: EngineSpeed = {prefillTokensPerMs: 8, stepMs: 14, stepMsPerRequest: 0.25};
 
+/** An engine that may take a request. */
 export type Candidate = {
 	readonly server: string;
 	readonly role: EngineRole;
 	readonly dataCentre: string;
 	readonly load: LoadEstimate;
 	readonly speed: EngineSpeed;
-	/** Prompt tokens that its prefix cache is expected to hold. */
+	/** Prompt tokens that its prefix cache probably holds. */
 	readonly cachedTokens: number;
-	/** Whether the prompt's prefix is at home there. */
+	/** Whether this engine owns the prompt's prefix (see `findPrefixOwner`). */
 	readonly isPrefixOwner?: boolean;
-	/** Requests that it runs at once; more wait. */
+	/** Maximum number of concurrent requests; further ones are queued. */
 	readonly maxRunning: number;
-	/** KV tokens that it holds at most. */
+	/** Capacity of the KV cache, tokens. */
 	readonly kvTokens: number;
 };
 
+/** Size and origin of a request. */
 export type RequestShape = {
 	readonly promptTokens: number;
 	readonly outputTokens: number;
 	readonly dataCentre: string;
 };
 
+/** Estimated latencies of a request at one engine. */
 export type CostEstimate = {
 	readonly server: string;
 	readonly firstTokenMs: number;
 	readonly betweenTokensMs: number;
+	/** Time to the last token plus penalties for work that would slow down other requests. */
 	readonly totalMs: number;
 };
 
+/** The chosen engine, its cost, and the costs of all engines that were compared. */
 export type EngineChoice = {
 	readonly server: string;
 	readonly cost: CostEstimate;
@@ -57,13 +62,13 @@
 };
 
 export type ChoiceOptions = {
-	/** Random candidates that are compared, beside the best prefix hit. */
+	/** Number of randomly sampled candidates to compare, in addition to the one with the best prefix hit. */
 	readonly sampleSize: number;
-	/** Extra cost of another data centre, milliseconds for each exchange. */
+	/** Cost of using an engine in another data centre, milliseconds. */
 	readonly crossDataCentreMs: number;
-	/** Whether long prompts keep away from engines that decode. */
+	/** Whether engines whose role does not match the kind of work are penalized. */
 	readonly respectRoles: boolean;
-	/** Whether expected prefix hits lower the cost; off by default, docs/design/routing.md says why. */
+	/** Whether expected prefix cache hits lower the cost. Off by default, see docs/design/routing.md for the reasons. */
 	readonly usePrefixCache: boolean;
 };
 
@@ -71,16 +76,16 @@
 	sampleSize: 2, crossDataCentreMs: 1, respectRoles: true, usePrefixCache: false,
 };
 
-/** Prompt tokens for each output token above which a request counts as prefill work. */
+/** Ratio of prompt tokens to output tokens above which a request counts as prefill work. */
 export const PREFILL_RATIO = 8;
 const WRONG_ROLE_PENALTY_MS = 400;
 const QUEUE_PENALTY_MS = 250;
 
 /**
- * Chooses among the candidates the one that answers soonest; undefined if there is none.
+ * Chooses the candidate with the lowest estimated cost; undefined if there are no candidates.
  *
- * A few random ones are compared rather than all, so that many hosts with the same stale reports do not all
- * choose the same engine.
+ * Compares a small random sample instead of all candidates: many hosts that decide on the same stale load reports
+ * would otherwise all choose the same engine.
  *
  * @example
  * ```ts
@@ -114,7 +119,7 @@
 }
 
 /**
- * Estimates how long an engine takes for a request.
+ * Estimates the latencies of a request at an engine.
  *
  * @example
  * ```ts
@@ -135,7 +140,7 @@
 	const queueMs = (queued * QUEUE_PENALTY_MS) + (kvOverflow / speed.prefillTokensPerMs);
 	const firstTokenMs = prefillMs + queueMs + betweenTokensMs + crossDataCentreMs;
 	const rolePenaltyMs = options.respectRoles ? estimateRolePenaltyMs(size, candidate.role) : 0;
-	// A running batch is slowed by each prompt that joins it: that is a cost to others.
+	// Prefilling a prompt delays every request in the running batch of a decode engine.
 	const interferenceMs = candidate.role === ENGINE_ROLES.decode ? size.prefillTokens / speed.prefillTokensPerMs : 0;
 	return {
 		server: candidate.server,
@@ -146,7 +151,7 @@
 }
 
 /**
- * Tells whether a request is mostly prefill work.
+ * Returns whether a request consists mostly of prefill work.
  *
  * @example
  * ```ts
@@ -179,7 +184,7 @@
 	return best;
 }
 
-/** What an answer must keep to count as on time, milliseconds. */
+/** Latency targets of a response, milliseconds. */
 export type LatencyTargets = {
 	readonly firstTokenMs: number;
 	readonly betweenTokensMs: number;
@@ -188,12 +193,13 @@
 export const DEFAULT_LATENCY_TARGETS: LatencyTargets = {firstTokenMs: 740, betweenTokensMs: 27};
 
 /**
- * Tells whether an engine is expected to keep the targets; work that cannot is refused at once rather than late.
+ * Returns whether an estimate meets the latency targets. Requests that would miss them are refused at once instead of
+ * being answered late.
  *
- * @param share - Share of the time to the first token that the estimate may use up.
+ * @param share - Fraction of the first-token target that the estimate may use.
  * @example
  * ```ts
- * meetsTargets(decision.cost, DEFAULT_TARGETS);
+ * meetsTargets(choice.cost, DEFAULT_LATENCY_TARGETS);
  * ```
  */
 export function meetsTargets(cost: CostEstimate, targets: LatencyTargets, share = 1): boolean {
--- a/src/routing/engine.ts
+++ b/src/routing/engine.ts
@@ -1,5 +1,5 @@
 /**
- * What a placer knows of one engine: the work it was given, and the prompt parts it should hold.
+ * The scheduler's model of one engine: its queued and running requests, its KV cache, its measured speed and its health.
  *
  * @module
  */
@@ -7,19 +7,20 @@
 import {KvCacheModel, type PromptPart} from './kvcache.js';
 import {PrefillQueue, type PrefillReport, type PrefillTask} from './queue.js';
 
+/** Identity and configuration of an engine. */
 export type EngineInfo = {
 	readonly server: string;
 	readonly incarnation: number;
 	readonly service: string;
 	readonly dataCentre: string;
 	readonly role: EngineRole;
-	/** Requests that run at once. */
+	/** Maximum number of concurrent requests. */
 	readonly slots: number;
-	/** Tokens of KV cache. */
+	/** Capacity of the KV cache, tokens. */
 	readonly kvTokens: number;
 };
 
-/** Size of a request at an engine. */
+/** What a request occupies at an engine. */
 export type RequestSize = {
 	readonly parts: readonly PromptPart[];
 	readonly promptTokens: number;
@@ -28,46 +29,49 @@
 
 type Run = {
 	readonly tokens: number;
-	/** When its first event should come; undefined once it has. */
+	/** When the first event is expected; undefined once it has arrived. */
 	dueMs: number | undefined;
 };
 
-/** Prompt tokens that an engine reads in a millisecond until it is measured, as the users state it. */
+/** Prefill speed until it is measured, tokens per millisecond; as specified by the users. */
 const PREFILL_TOKENS_PER_MS = 93;
-/** Cost of attention between a prompt's tokens, milliseconds for a million pairs, as the users' servers show it. */
+/** Time for attention, milliseconds per million pairs of tokens; observed on the users' servers. */
 const ATTENTION_MS_PER_MILLION_PAIRS = 0.442;
-/** Prompt tokens that an engine reads in one step, as the users state it. */
+/** Prompt tokens that an engine prefills in one step; as specified by the users. */
 const CHUNK_TOKENS = 1024;
-/** An engine that makes tokens reads at half the speed, and a quarter as many tokens in one step. */
+/** A decode engine prefills at half the speed, and a quarter as many tokens per step. */
 const DECODE_ENGINE_PREFILL_FACTOR = 2;
 const DECODE_ENGINE_CHUNK_FACTOR = 4;
-/** Time of one step beside what it reads, and what each thousand tokens of running requests add, as the users state it. */
+/**
+ * Base duration of a step, and the time that each thousand context tokens of running requests add; as specified by the
+ * users.
+ */
 const STEP_MS = 3.29;
 const STEP_MS_PER_THOUSAND_TOKENS = 0.0262;
-/** Time from a prompt's arrival to its first token that keeps the engine from no other work, until it is measured. */
+/** Part of a request's latency that does not occupy the engine, until it is measured. */
 const INITIAL_OVERHEAD_MS = 80;
-/** Work below which the time that a prompt took tells more of the latency than of the speed, milliseconds. */
+/** Below this prefill time, the duration of a prefill is used to measure the overhead instead of the speed. */
 const SMALL_WORK_MS = 40;
 const OVERHEAD_WEIGHT = 0.05;
-/** Bounds of the measured slowness, and the weight of one measurement. */
+/** Bounds of the measured slowdown, and the weight of one measurement in its moving average. */
 const MAX_SLOWDOWN = 6;
 const MIN_SLOWDOWN = 0.7;
 const SLOWDOWN_WEIGHT = 0.08;
-/** A sign of life counts against a suspicion from this long after it on: earlier ones were on their way, milliseconds. */
+/** Progress that is reported within this time after a failure was already in transit and does not clear the suspicion. */
 const TRANSIT_MS = 30;
-/** Weight of one outcome in the share of requests that an engine fails. */
+/** Weight of one outcome in the moving average of the failure rate. */
 const FAILURE_WEIGHT = 0.1;
-/** An engine that fails gets nothing, so its past must fade for it to be tried again, milliseconds. */
+/** The failure rate decays with this half-life, because a failing engine gets no requests that could lower it. */
 const FAILURE_HALF_LIFE_MS = 3000;
-/** An engine whose work is overdue by this much, with no sign of any other, is taken for gone, milliseconds. */
+/** An engine is presumed unreachable if it has reported no progress for this long and work is overdue by as much. */
 const SILENCE_MS = 600;
 
-/** The state of one engine in one incarnation. */
+/** The state of one incarnation of an engine. Performs no I/O; the caller passes the current time. */
 export class EngineState {
 	info: EngineInfo;
 	readonly #cache = new KvCacheModel();
 	readonly #prefillQueue = new PrefillQueue();
-	/** Parts that each prompt in the queue is to bring: nobody can fetch them yet. */
+	/** For each queued prompt, the parts that it will add to the cache; other engines cannot fetch them yet. */
 	readonly #pendingParts = new Map<string, ReadonlySet<string>>();
 	readonly #running = new Map<string, Run>();
 	#contextTokens = 0;
@@ -76,7 +80,7 @@
 	#failureRate = 0;
 	#lastOutcomeMs = 0;
 	#lastProgressMs = Number.NEGATIVE_INFINITY;
-	/** Measured reading time over the expected one. */
+	/** Moving average of the measured prefill time divided by the estimated one. */
 	#slowdown = 1;
 	#overheadMs = INITIAL_OVERHEAD_MS;
 
@@ -88,65 +92,65 @@
 		return this.#running.size;
 	}
 
-	/** Tokens of the requests that run here. */
+	/** Total tokens of the running requests. */
 	get contextTokens(): number {
 		return this.#contextTokens;
 	}
 
-	/** Time to a prompt's first token beside what it waits and is read, milliseconds. */
+	/** Time to the first token in addition to queueing and prefill, milliseconds. */
 	get overheadMs(): number {
 		return this.#overheadMs;
 	}
 
-	/** Time of one step with what runs here, milliseconds. */
+	/** Duration of one step with the current running requests, milliseconds. */
 	get stepMs(): number {
 		return STEP_MS + this.contextStepMs(0);
 	}
 
-	/** Part of a step that the context of running requests takes with some tokens more, milliseconds. */
+	/** Part of a step's duration that is due to the context of the running requests and `extraTokens`, milliseconds. */
 	contextStepMs(extraTokens: number): number {
 		return (this.#contextTokens + extraTokens) / 1000 * STEP_MS_PER_THOUSAND_TOKENS;
 	}
 
-	/** Share of its recent requests that it failed; what is long ago counts less. */
+	/** Failure rate of recent requests, decayed by the time since the last outcome. */
 	failureRate(nowMs: number): number {
 		return this.#failureRate * (0.5 ** ((nowMs - this.#lastOutcomeMs) / FAILURE_HALF_LIFE_MS));
 	}
 
-	/** Leaves it out for a while, unless it shows a sign of life before. */
+	/** Marks the engine as suspected until a time, or until it reports progress. */
 	suspect(untilMs: number, nowMs: number): void {
 		this.#suspectedAtMs = nowMs;
 		this.#suspectedUntilMs = untilMs;
 	}
 
-	/** Notes how a request ended here. */
+	/** Records whether a request failed. */
 	recordOutcome(isFailure: boolean, nowMs: number): void {
 		const rate = this.failureRate(nowMs);
 		this.#failureRate = rate + (((isFailure ? 1 : 0) - rate) * FAILURE_WEIGHT);
 		this.#lastOutcomeMs = nowMs;
 	}
 
-	/** Whether it failed a moment ago and has shown no sign of life since, or has fallen silent with work in hand. */
+	/** Whether the engine failed recently without progress since, or is silent although work is overdue. */
 	isSuspected(nowMs: number): boolean {
 		const isAlive = this.#lastProgressMs > this.#suspectedAtMs + TRANSIT_MS;
 		return (nowMs < this.#suspectedUntilMs && !isAlive) || this.#isSilent(nowMs);
 	}
 
-	/** Tokens of the leading parts of a prompt that it should hold. */
+	/** Counts the tokens of a prompt's leading parts that should be in the cache. */
 	countCached(parts: readonly PromptPart[]): number {
 		return this.#cache.countCached(parts);
 	}
 
-	/** Tokens of the leading parts that another engine can fetch now. */
+	/** Counts the tokens of a prompt's leading parts that other engines can fetch now. */
 	countFetchable(parts: readonly PromptPart[]): number {
 		const firstPending = parts.findIndex(({key}) => this.#isPending(key));
 		return this.#cache.countCached(firstPending === -1 ? parts : parts.slice(0, firstPending));
 	}
 
 	/**
-	 * Time that it needs to read a prompt once it begins, milliseconds.
+	 * Estimates the duration of a prefill without queueing, milliseconds.
 	 *
-	 * @param cachedTokens - Leading tokens that it holds or is given.
+	 * @param cachedTokens - Leading tokens that are in the cache or are fetched into it.
 	 */
 	prefillMs({promptTokens}: Pick<RequestSize, 'promptTokens'>, cachedTokens: number): number {
 		const uncachedTokens = Math.max(1, promptTokens - cachedTokens);
@@ -158,17 +162,17 @@
 		return ((estimateComputeMs(uncachedTokens, cachedTokens) * DECODE_ENGINE_PREFILL_FACTOR) + (steps * this.stepMs)) * this.#slowdown;
 	}
 
-	/** Time until it would begin to read a prompt of some urgency, milliseconds. */
+	/** Time until the prefill of a new prompt with the given priority would start, milliseconds. */
 	waitMs(priority: number, nowMs: number): number {
 		return this.#prefillQueue.waitMs(priority, nowMs);
 	}
 
-	/** Prompts that would wait behind one of some urgency. */
+	/** Counts the queued prompts that are less urgent than the given priority. */
 	countLowerPriority(priority: number, nowMs: number): number {
 		return this.#prefillQueue.countLowerPriority(priority, nowMs);
 	}
 
-	/** Notes that it was given a prompt to read. */
+	/** Records that the engine was assigned the prefill of a prompt. */
 	startPrefill(id: string, size: RequestSize, task: PrefillTask, nowMs: number): void {
 		this.#prefillQueue.add(id, task, nowMs);
 		const missing = size.parts.filter(({key}) => !this.#cache.has(key)).map(({key}) => key);
@@ -176,12 +180,12 @@
 		this.#cache.record(size.parts, this.info.kvTokens - this.#contextTokens);
 	}
 
-	/** Notes parts that it read on another placer's word. */
+	/** Records parts that are cached because of another scheduler's placement. */
 	recordCached(parts: readonly PromptPart[]): void {
 		this.#cache.record(parts, this.info.kvTokens - this.#contextTokens);
 	}
 
-	/** Notes that a prompt is read, and learns from how long it took. */
+	/** Records that a prefill has completed, and updates the measured speed or overhead. */
 	completePrefill(id: string, nowMs: number): void {
 		this.#lastProgressMs = nowMs;
 		this.#pendingParts.delete(id);
@@ -192,9 +196,9 @@
 	}
 
 	/**
-	 * Notes that it was given a request to run.
+	 * Records that the engine was assigned a request to run.
 	 *
-	 * @param dueMs - When the first event should come.
+	 * @param dueMs - When the first event is expected; undefined if it is not known.
 	 */
 	startRun(id: string, {parts, promptTokens, outputTokens}: RequestSize, dueMs: number | undefined): void {
 		const tokens = promptTokens + outputTokens;
@@ -203,7 +207,7 @@
 		this.#cache.record(parts, this.info.kvTokens - this.#contextTokens);
 	}
 
-	/** Notes the first event of a request. */
+	/** Records the first event of a request. */
 	recordFirstEvent(id: string, nowMs: number): void {
 		this.#lastProgressMs = nowMs;
 		const run = this.#running.get(id);
@@ -212,6 +216,7 @@
 		}
 	}
 
+	/** Removes a request that has ended, failed or was reassigned. */
 	endRequest(id: string, nowMs: number): void {
 		this.#prefillQueue.remove(id, nowMs);
 		this.#cache.remove(this.#pendingParts.get(id) ?? []);
@@ -230,10 +235,10 @@
 		return false;
 	}
 
-	#updateSpeed({busyMs, workMs, totalMs: tookMs, wasIdle: wasAlone}: PrefillReport): void {
+	#updateSpeed({busyMs, workMs, totalMs, wasIdle}: PrefillReport): void {
 		if (workMs < SMALL_WORK_MS) {
-			const overheadMs = Math.max(0, tookMs + this.#overheadMs - workMs);
-			this.#overheadMs += wasAlone ? (overheadMs - this.#overheadMs) * OVERHEAD_WEIGHT : 0;
+			const overheadMs = Math.max(0, totalMs + this.#overheadMs - workMs);
+			this.#overheadMs += wasIdle ? (overheadMs - this.#overheadMs) * OVERHEAD_WEIGHT : 0;
 			return;
 		}
 
@@ -261,13 +266,13 @@
 }
 
 /**
- * Estimates how long an engine of ordinary speed that only reads is busy with a prompt.
+ * Estimates how long a prefill engine of nominal speed is busy with a prompt, milliseconds.
  *
- * @param uncachedTokens - Tokens to read.
- * @param contextTokens - Tokens before them that it holds.
+ * @param uncachedTokens - Tokens to prefill.
+ * @param contextTokens - Tokens before them that are in the cache.
  * @example
  * ```ts
- * estimateReadMs(9300, 0); // 100 ms of reading, 19 ms of attention, 10 steps of 3.29 ms
+ * estimatePrefillMs(9300, 0); // 100 ms for the tokens, 19 ms of attention, 10 steps of 3.29 ms
  * ```
  */
 export function estimatePrefillMs(uncachedTokens: number, contextTokens: number): number {
--- a/src/routing/handoff.ts
+++ b/src/routing/handoff.ts
@@ -1,5 +1,5 @@
 /**
- * Decides whether a request's prompt is computed at one engine and its answer at another, with the KV cache moved.
+ * Decides whether a request is prefilled at one engine and decoded at another, with a transfer of the KV cache between.
  *
  * @module
  */
@@ -9,30 +9,30 @@
 } from './choice.js';
 
 export type TransferSpeed = {
-	/** KV tokens that are moved in a millisecond. */
+	/** KV cache tokens transferred per millisecond. */
 	readonly tokensPerMs: number;
-	/** Time of a move beside its tokens, milliseconds. */
+	/** Fixed time per transfer, milliseconds. */
 	readonly setupMs: number;
 };
 
 export const DEFAULT_TRANSFER: TransferSpeed = {tokensPerMs: 200, setupMs: 5};
 
-/** Where a request goes: to one engine, or to one for the prompt and another for the answer. */
+/** Where a request goes: to one engine, or to a prefill engine that hands off to a decode engine. */
 export type Placement = {
 	readonly first: EngineChoice;
-	/** Whether the answer is to be continued at another engine after the first token. */
+	/** Whether another engine continues after the first token. */
 	readonly handsOff: boolean;
 };
 
-/** Uncached prompt tokens below which a decode engine computes the prompt itself. */
+/** Minimum number of uncached prompt tokens for a handoff; decode engines prefill shorter prompts themselves. */
 export const MIN_HANDOFF_TOKENS = 512;
 
 /**
- * Chooses an engine for a new request, and whether it hands off after the prompt.
+ * Chooses an engine for a new request, and whether it hands off after prefill.
  *
  * @example
  * ```ts
- * placeRequest(shape, candidates, random)?.handsOff; // true for a long prompt with prefill engines about
+ * placeRequest(shape, candidates, random)?.handsOff; // true for a long prompt if there are prefill engines
  * ```
  */
 export function placeRequest(
@@ -61,7 +61,7 @@
 }
 
 /**
- * Chooses the engine that continues after a handoff: the KV cache comes along, so only decoding counts.
+ * Chooses the engine that continues after a handoff. The KV cache is transferred to it, so only decoding is counted.
  *
  * @example
  * ```ts
--- a/src/routing/health.ts
+++ b/src/routing/health.ts
@@ -1,5 +1,5 @@
 /**
- * Which backend servers to keep away from for a while, and how many retries may be spent.
+ * Health of backend servers as one host observes it, and a budget for retries.
  *
  * @module
  */
@@ -11,11 +11,13 @@
 const INITIAL_SUSPICION_MS = 500;
 const MAX_SUSPICION_MS = 10_000;
 
-/** Suspicion of servers by one host's own experience. A step machine: time is handed in. */
+/**
+ * Suspects servers that failed recently, with exponential backoff. Performs no I/O; the caller passes the current time.
+ */
 export class HealthTracker {
 	readonly #servers = new Map<string, ServerHealth>();
 
-	/** Notes that even a new connection to a server failed. */
+	/** Records that a new connection to a server could not be established. */
 	recordFailure(server: string, nowMs: number): void {
 		const known = this.#servers.get(server) ?? {failures: 0, suspectedUntilMs: 0};
 		const durationMs = Math.min(MAX_SUSPICION_MS, INITIAL_SUSPICION_MS * (2 ** known.failures));
@@ -31,7 +33,7 @@
 	}
 }
 
-/** Lets retries be at most a share of the requests, so that they never amplify an overload. */
+/** Token bucket that limits retries to a share of the requests, so that retries cannot amplify an overload. */
 export class RetryBudget {
 	readonly #share: number;
 	readonly #reserve: number;
@@ -47,7 +49,7 @@
 		this.#tokens = Math.min(this.#reserve, this.#tokens + this.#share);
 	}
 
-	/** Takes one retry if the budget allows it. */
+	/** Consumes one retry; returns false if the budget is exhausted. */
 	tryAcquire(): boolean {
 		if (this.#tokens < 1) {
 			return false;
@@ -58,7 +60,7 @@
 	}
 }
 
-/** Typical durations of a server's answers, and from them when silence becomes suspicious. */
+/** Tracks the typical gap between two events of a server's streams, and derives a stall timeout from it. */
 export class StreamGapTracker {
 	readonly #servers = new Map<string, {gapMs: number}>();
 
@@ -69,12 +71,12 @@
 			return;
 		}
 
-		// Follows a longer gap quickly and a shorter one slowly.
+		// Adapts quickly to longer gaps and slowly to shorter ones.
 		const weight = gapMs > known.gapMs ? 0.3 : 0.02;
 		known.gapMs += (gapMs - known.gapMs) * weight;
 	}
 
-	/** Longest silence between two events of a stream, milliseconds. */
+	/** Time without an event after which a stream counts as stalled, milliseconds. */
 	stallTimeoutMs(server: string): number {
 		const typicalMs = this.#servers.get(server)?.gapMs ?? 100;
 		return Math.min(10_000, Math.max(1000, typicalMs * 20));
--- a/src/routing/kvcache.ts
+++ b/src/routing/kvcache.ts
@@ -1,16 +1,16 @@
 /**
- * Which prompt parts an engine keeps in its KV cache, as far as the requests sent there tell.
+ * A model of an engine's KV cache, derived from the requests that were sent to it.
  *
  * @module
  */
 
-/** A named part of a prompt; requests share parts. */
+/** A named segment of a prompt. Prompts that start with the same parts share their KV cache. */
 export type PromptPart = {
 	readonly key: string;
 	readonly tokens: number;
 };
 
-/** A model of one engine's cache: the least recently used parts yield. */
+/** The prompt parts in one engine's KV cache, with least-recently-used eviction. */
 export class KvCacheModel {
 	readonly #parts = new Map<string, number>();
 	#tokens = 0;
@@ -19,7 +19,7 @@
 		return this.#tokens;
 	}
 
-	/** Tokens of the leading parts that are kept; a part counts only if all before it are kept. */
+	/** Counts the tokens of the leading parts that are cached. A part counts only if all parts before it are cached. */
 	countCached(parts: readonly PromptPart[]): number {
 		let tokens = 0;
 		for (const part of parts) {
@@ -33,7 +33,7 @@
 		return tokens;
 	}
 
-	/** Notes that an engine has read a prompt, and drops what no longer fits beside it. */
+	/** Records that a prompt was prefilled, and evicts what no longer fits. */
 	record(parts: readonly PromptPart[], capacityTokens: number): void {
 		for (const {key, tokens} of parts) {
 			this.#tokens += tokens - (this.#parts.get(key) ?? 0);
@@ -44,7 +44,7 @@
 		this.evictTo(capacityTokens);
 	}
 
-	/** Drops the least recently used parts beyond a capacity. */
+	/** Evicts the least recently used parts until the rest fits the capacity. */
 	evictTo(capacityTokens: number): void {
 		for (const [key, tokens] of this.#parts) {
 			if (this.#tokens <= capacityTokens) {
@@ -56,7 +56,7 @@
 		}
 	}
 
-	/** Drops parts that were noted but not read after all. */
+	/** Removes parts that were recorded but not prefilled in the end. */
 	remove(keys: Iterable<string>): void {
 		for (const key of keys) {
 			this.#tokens -= this.#parts.get(key) ?? 0;
--- a/src/routing/load.ts
+++ b/src/routing/load.ts
@@ -1,10 +1,11 @@
 /**
- * How loaded each engine is, as one entry host can know it: the last report, which lags, and its own work since.
+ * Load of each engine as one entry host estimates it, from the engine's last report, which lags, and the host's own
+ * requests since.
  *
  * @module
  */
 
-/** What an engine reports of itself. */
+/** Load that an engine reports about itself. */
 export type LoadReport = {
 	readonly running: number;
 	readonly waiting: number;
@@ -13,17 +14,17 @@
 	readonly freePieces?: number;
 };
 
-/** Work that one request puts on an engine. */
+/** Work that one request causes at an engine. */
 export type WorkSize = {
 	/** Prompt tokens that are not in the engine's prefix cache. */
 	readonly prefillTokens: number;
-	/** Expected tokens of the answer. */
+	/** Expected number of output tokens. */
 	readonly outputTokens: number;
-	/** Prompt tokens, cached or not. */
+	/** All prompt tokens, cached or not. */
 	readonly promptTokens: number;
 };
 
-/** The load that a new request would meet. */
+/** Estimated load at an engine when a new request arrives. */
 export type LoadEstimate = {
 	readonly requests: number;
 	readonly prefillTokens: number;
@@ -46,10 +47,10 @@
 	running: 0, waiting: 0, prefillTokens: 0, decodeTokens: 0,
 };
 
-/** Tracks the load of engines. A step machine: time is handed in. */
+/** Tracks the load of engines. Performs no I/O; the caller passes the current time. */
 export class LoadTracker {
 	readonly #engines = new Map<string, EngineLoad>();
-	/** How old the content of a report is when it arrives, milliseconds. */
+	/** Age of a report's content when it arrives, milliseconds. */
 	readonly #reportLagMs: number;
 
 	constructor(reportLagMs = 100) {
@@ -62,12 +63,12 @@
 		engine.reportMs = nowMs;
 	}
 
-	/** Notes a request that was sent. */
+	/** Records that a request was sent to a server. */
 	startRequest(server: string, id: string, size: WorkSize, nowMs: number): void {
 		this.#getEngine(server).inFlight.set(id, {size, sentMs: nowMs, hasFirstToken: false});
 	}
 
-	/** Notes that a request's prefill is over. */
+	/** Records that a request's prefill has completed. */
 	recordFirstToken(server: string, id: string): void {
 		const request = this.#engines.get(server)?.inFlight.get(id);
 		if (request) {
@@ -79,12 +80,14 @@
 		this.#engines.get(server)?.inFlight.delete(id);
 	}
 
-	/** This host's own requests in flight at a server. */
+	/** Counts this host's requests in flight at a server. */
 	countInFlight(server: string): number {
 		return this.#engines.get(server)?.inFlight.size ?? 0;
 	}
 
-	/** Estimates the load that a new request meets: the report, plus own requests that it cannot contain yet. */
+	/**
+	 * Estimates the load at a server: its last report plus this host's requests that are too recent to be in the report.
+	 */
 	estimate(server: string): LoadEstimate {
 		const engine = this.#engines.get(server);
 		if (!engine) {
--- a/src/routing/planner.ts
+++ b/src/routing/planner.ts
@@ -1,5 +1,5 @@
 /**
- * How many engines of a pool read prompts and how many make tokens.
+ * Balances the number of prefill and decode engines in each pool.
  *
  * @module
  */
@@ -12,30 +12,32 @@
 	readonly reason: string;
 };
 
-/** Share of a pool that reads before its caches are warm: the first prompts are read whole, the answers are short. */
+/**
+ * Share of prefill engines in a pool. It suits cold caches, when prompts are prefilled in full and responses are short.
+ */
 const PREFILL_SHARE = 0.6;
-/** Smallest pool in which roles are told apart. */
+/** Minimum number of engines for which a pool is split into prefill and decode engines. */
 const MIN_POOL_SIZE = 3;
-/** A wrong share must last this long: engines that restart are back within seconds, milliseconds. */
+/** How long a pool must be imbalanced before it is changed, because restarting engines are back within seconds. */
 const STABILIZATION_MS = 3000;
 
 export type PlanningContext = {
 	readonly nowMs: number;
+	/** Whether the system is starting; no request is running yet that a role change could delay. */
 	readonly isStartup: boolean;
 };
 
-/** Plans role changes for the pools of a system. A step machine: time is handed in. */
+/** Plans role changes for all pools. Performs no I/O; the caller passes the current time. */
 export class RolePlanner {
-	/** Since when each pool has had the wrong number of readers. */
+	/** Since when each imbalanced pool has had the wrong number of prefill engines. */
 	readonly #imbalancedSinceMs = new Map<string, number>();
 
 	/**
-	 * Plans the changes that bring every pool to its share of readers; none if it has them.
+	 * Plans the changes that bring every pool to its target share of prefill engines.
 	 *
-	 * @param isNew - Whether the system starts: then nothing runs that a change could hold up.
 	 * @example
 	 * ```ts
-	 * planner.plan(engines, {nowMs, isNew: true}); // [{server: 'e3', role: 'prefill', reason: '3 of 8 engines read, 5 should'}]
+	 * planner.plan(engines, {nowMs, isStartup: true}); // [{server: 'e3', role: 'prefill', reason: '3 of 8 engines read, 5 should'}]
 	 * ```
 	 */
 	plan(engines: readonly EngineInfo[], context: PlanningContext): PoolRoleChange[] {
@@ -71,7 +73,7 @@
 	}
 }
 
-/** Picks engines from the data centres that have most of them. */
+/** Picks engines one by one, each from the data centre with the most engines left. */
 function pickFromLargestDataCentres(engines: readonly EngineInfo[], count: number): EngineInfo[] {
 	const remaining = [...engines].toSorted((a, b) => a.server.localeCompare(b.server));
 	const picked: EngineInfo[] = [];
--- a/src/routing/poison.ts
+++ b/src/routing/poison.ts
@@ -1,35 +1,37 @@
 /**
- * Requests that crash the servers that run them.
+ * Detection of poison requests, which crash the servers that run them.
  *
- * Every request that was in flight at a server when it died becomes a suspect. A suspect is tried again only at a
- * server that no other suspect uses, so that a second crash proves it. One that runs on alone beyond the point of the
- * crash is acquitted of it: another crash later makes it a suspect again, no more.
+ * Every request that was in flight at a server when it crashed becomes a suspect. A suspect is retried only at a server
+ * that runs no other suspect, so that a second crash proves that it is the cause. A suspect that runs alone beyond the
+ * point of the crash is acquitted of that crash; a later crash only makes it a suspect again.
  *
  * @module
  */
 
-/** Crashes not accounted for after which a request is refused for good. */
+/** Number of crashes without an acquittal after which a request counts as poisoned and is refused permanently. */
 export const POISON_LIMIT = 2;
-/** Crashes, accounted for or not, after which it is refused: some crash their server now and then. */
+/**
+ * Number of crashes, including acquitted ones, after which a request is refused: some crash their server only sometimes.
+ */
 export const CRASH_LIMIT = 4;
 
 export const POISON_STATES = {clear: 'clear', suspect: 'suspect', poisoned: 'poisoned'} as const;
 export type PoisonState = keyof typeof POISON_STATES;
 
-/** What all hosts know of a request that was running when servers died. */
+/** The crashes that a request was involved in, as all hosts record them. */
 export type CrashRecord = {
-	/** Starts of servers that died while they ran it. */
+	/** Server incarnations that crashed while they ran the request. */
 	readonly servers: readonly string[];
-	/** Those of them that it did not crash. */
+	/** The incarnations among them whose crash the request did not cause. */
 	readonly acquitted?: readonly string[];
 };
 
 /**
- * Judges a request by the servers that died while they ran it.
+ * Classifies a request by the servers that crashed while they ran it.
  *
  * @example
  * ```ts
- * judgeRequest({servers: ['e1#1'], acquitted: []}); // 'suspect'
+ * classifyRequest({servers: ['e1#1'], acquitted: []}); // 'suspect'
  * ```
  */
 export function classifyRequest({servers, acquitted = []}: CrashRecord): PoisonState {
--- a/src/routing/prefill.ts
+++ b/src/routing/prefill.ts
@@ -1,41 +1,43 @@
 /**
- * How an engine would read a prompt: with what it holds, and what it can fetch from another one.
+ * Plans the prefill of a prompt at an engine: which parts are cached, and which are fetched from another engine.
  *
  * @module
  */
 import {estimatePrefillMs, type EngineState, type RequestSize} from './engine.js';
 
-/** How an engine would read a prompt. */
+/** How an engine would prefill a prompt. */
 export type PrefillPlan = {
+	/** Time that the engine is busy with it, including the fetch, milliseconds. */
 	readonly workMs: number;
+	/** Prompt tokens that need not be computed, cached or fetched. */
 	readonly cachedTokens: number;
-	/** What it costs others that the engine comes to hold more. */
+	/** Cost to other requests of the cache entries that are evicted, milliseconds. */
 	readonly evictionCostMs: number;
-	/** Engine to fetch shared parts from. */
+	/** Engine from which shared parts are fetched; undefined without a fetch. */
 	readonly source: string | undefined;
 };
 
-/** Transfer of a thousand tokens of KV cache between two engines, milliseconds. */
+/** Time to transfer a thousand tokens of KV cache between two engines, milliseconds. */
 const TRANSFER_MS_PER_THOUSAND = 0.7;
-/** A transfer to another data centre takes this many times as long. */
+/** Factor by which a transfer to another data centre takes longer. */
 const CROSS_DATA_CENTRE_FACTOR = 2;
 /**
- * Share of the reading time of shared tokens that it costs others when an engine comes to hold them: they push out
- * parts that must then be read again.
+ * Cost of caching additional shared tokens, as a share of their prefill time: they evict parts that must then be
+ * prefilled again.
  */
 const EVICTION_WEIGHT = 1;
-/** Shared tokens from which fetching them pays for its set-up. */
+/** Minimum number of additional cached tokens for which a fetch is worth its setup time. */
 const MIN_FETCH_TOKENS = 512;
-/** Time that a fetch of shared parts takes beside its tokens, milliseconds. */
+/** Fixed time per fetch of shared parts, milliseconds. */
 const FETCH_SETUP_MS = 5;
 
 /**
- * Plans how an engine reads a prompt.
+ * Plans the prefill of a prompt at an engine, with the fetch that shortens it most, if any does.
  *
  * @param holders - Engines from which shared parts may be fetched.
  * @example
  * ```ts
- * planRead(engine, request, engines); // {workMs: 65, cachedTokens: 13300, evictionMs: 0, source: 'e3'}
+ * planPrefill(engine, request, engines); // {workMs: 65, cachedTokens: 13300, evictionCostMs: 0, source: 'e3'}
  * ```
  */
 export function planPrefill(engine: EngineState, request: RequestSize, holders: readonly EngineState[]): PrefillPlan {
@@ -62,17 +64,18 @@
 	return plan;
 }
 
-/** Tokens that other requests may share: all but the last part. */
+/** Counts the tokens that other requests may share: all parts but the last, which belongs to the request alone. */
 function countSharedTokens({parts, promptTokens}: RequestSize): number {
 	return Math.max(0, promptTokens - (parts.at(-1)?.tokens ?? promptTokens));
 }
 
 /**
- * Estimates how long a prompt's KV cache takes from one engine to another, milliseconds.
+ * Estimates the time to transfer a prompt's KV cache between two engines, milliseconds.
  *
+ * @param from - Data centre of the source; undefined if it is not known.
  * @example
  * ```ts
- * transferMs({promptTokens: 17_000}, 'a', 'b'); // 23.8
+ * estimateTransferMs({promptTokens: 17_000}, 'a', 'b'); // 23.8
  * ```
  */
 export function estimateTransferMs(request: Pick<RequestSize, 'promptTokens'>, from: string | undefined, to: string): number {
--- a/src/routing/prefix.ts
+++ b/src/routing/prefix.ts
@@ -1,17 +1,17 @@
 /**
- * Which engine holds which prompt prefixes in its KV cache: learned from own requests, corrected by cache events.
+ * Index of the prompt prefixes in the engines' KV caches, built from this host's requests and corrected by cache events.
  *
  * @module
  */
 import {crc32} from 'node:zlib';
 
-/** Characters of a prompt in one block; about 64 tokens. */
+/** Number of prompt characters in one prefix block, about 64 tokens. */
 export const BLOCK_CHARACTERS = 256;
 const MAX_BLOCKS_PER_SERVER = 8192;
 
 /** A cache event that an engine publishes. */
 export type CacheEvent = {
-	/** Rises by one with each event of a server's start. */
+	/** Increases by one with each event of an incarnation. */
 	readonly sequence: number;
 	readonly incarnation: number;
 	readonly stored: readonly number[];
@@ -19,20 +19,20 @@
 };
 
 const MAX_SEEN_BLOCKS = 65_536;
-/** How fast trust follows what engines report. */
+/** Weight of one report in the moving average of the hit rate. */
 const HIT_RATE_WEIGHT = 0.05;
 
 type ServerCache = {
-	/** Blocks in order of use, oldest first. */
+	/** Blocks in the order of their last use, oldest first. */
 	readonly blocks: Map<number, true>;
 	sequence: number;
 	incarnation: number;
-	/** Share of the believed blocks that the engine's answers confirmed. */
+	/** Moving average of the share of expected blocks that the engine reported as cached. */
 	hitRate: number;
 };
 
 /**
- * Hashes a prompt's whole blocks; each hash covers everything before it.
+ * Hashes the complete blocks of a prompt. Each hash also covers all blocks before it.
  *
  * @example
  * ```ts
@@ -50,7 +50,7 @@
 	return hashes;
 }
 
-/** What this host believes of the engines' prefix caches. */
+/** This host's estimate of the engines' prefix caches. */
 export class PrefixIndex {
 	readonly #servers = new Map<string, ServerCache>();
 	readonly #seen = new Map<number, true>();
@@ -60,7 +60,7 @@
 		this.#maxBlocks = maxBlocks;
 	}
 
-	/** Number of leading blocks that a server is believed to hold. */
+	/** Counts the leading blocks that were recorded for a server. */
 	countCached(server: string, hashes: readonly number[]): number {
 		const blocks = this.#servers.get(server)?.blocks;
 		if (!blocks) {
@@ -71,19 +71,19 @@
 		return miss === -1 ? hashes.length : miss;
 	}
 
-	/** Number of leading blocks that were seen in earlier prompts, at any server. */
+	/** Counts the leading blocks that occurred in earlier prompts, at any server. */
 	countSeen(hashes: readonly number[]): number {
 		const miss = hashes.findIndex(hash => !this.#seen.has(hash));
 		return miss === -1 ? hashes.length : miss;
 	}
 
-	/** Number of leading blocks that may be expected at a server, by what its answers have confirmed so far. */
+	/** Estimates the number of leading blocks cached at a server, corrected by the server's hit rate so far. */
 	estimateCached(server: string, hashes: readonly number[], isPrefixOwner: boolean): number {
 		const expected = isPrefixOwner ? Math.max(this.countSeen(hashes), this.countCached(server, hashes)) : this.countCached(server, hashes);
 		return Math.round(expected * (this.#servers.get(server)?.hitRate ?? 1));
 	}
 
-	/** Takes what a server says it had cached, against what was believed. */
+	/** Updates a server's hit rate with the number of blocks that it reports as cached. */
 	recordHits(server: string, expectedBlocks: number, cachedBlocks: number): void {
 		if (expectedBlocks > 0) {
 			const cache = this.#getCache(server);
@@ -91,7 +91,7 @@
 		}
 	}
 
-	/** Notes that a server has computed a prompt. */
+	/** Records that a server has prefilled a prompt. */
 	record(server: string, hashes: readonly number[]): void {
 		for (const hash of hashes) {
 			this.#seen.delete(hash);
@@ -108,7 +108,9 @@
 		this.#evictTo(blocks, this.#maxBlocks);
 	}
 
-	/** Takes a cache event; after a gap or a restart what was believed is forgotten. */
+	/**
+	 * Applies a cache event. After a gap in the sequence or a restart, the server's recorded blocks are discarded first.
+	 */
 	applyEvent(server: string, event: CacheEvent): void {
 		const cache = this.#getCache(server);
 		if (event.incarnation < cache.incarnation || (event.incarnation === cache.incarnation && event.sequence <= cache.sequence)) {
@@ -157,12 +159,12 @@
 }
 
 /**
- * Finds the server where a prefix is at home: all hosts agree on it without talking (rendezvous hashing), so that
- * the same text meets the same cache.
+ * Finds the server that owns a prefix. Rendezvous hashing lets all hosts choose the same owner without communication,
+ * so that requests with the same prefix reach the same cache.
  *
  * @example
  * ```ts
- * findHome(['e1', 'e2'], hash); // 'e2', on every host
+ * findPrefixOwner(['e1', 'e2'], hash); // 'e2', on every host
  * ```
  */
 export function findPrefixOwner(servers: readonly string[], hash: number): string | undefined {
--- a/src/routing/queue.ts
+++ b/src/routing/queue.ts
@@ -1,53 +1,54 @@
 /**
- * The prompts that one engine was given to read, as it works them off: the most urgent first, one after another.
+ * A model of one engine's prefill queue, which processes one prompt at a time, the most urgent first.
  *
- * A step machine: time is handed in. What it expects is set right whenever a prompt is reported read.
+ * It simulates when the engine starts and completes each prompt, and corrects itself whenever a prefill is reported as
+ * completed. Performs no I/O; the caller passes the current time.
  *
  * @module
  */
 
-/** A prompt to read. */
+/** A prompt to prefill. */
 export type PrefillTask = {
-	/** Time that the engine is busy with it, milliseconds. */
+	/** Estimated time that the engine is busy with it, milliseconds. */
 	readonly workMs: number;
 	/** 0 is the most urgent. */
 	readonly priority: number;
 };
 
-/** How a task fared. */
+/** Timing of a completed prefill. */
 export type PrefillReport = {
 	/** Time that the engine was busy with it, milliseconds. */
 	readonly busyMs: number;
-	/** The same as it was expected. */
+	/** Time that the engine was estimated to be busy with it, milliseconds. */
 	readonly workMs: number;
-	/** Time from its arrival to its end. */
+	/** Time from its arrival to its completion, milliseconds. */
 	readonly totalMs: number;
-	/** Whether it found the engine with nothing to read. */
+	/** Whether the queue was idle when it arrived. */
 	readonly wasIdle: boolean;
 };
 
 type QueuedPrompt = PrefillTask & {
 	readonly addedMs: number;
-	/** When it should be read, as expected at its arrival. */
+	/** Completion time that was expected when it arrived. */
 	readonly dueMs: number;
 	readonly wasIdle: boolean;
-	/** When the engine should be through with it; undefined while it waits. */
+	/** Expected completion time once it has started; undefined while it waits. */
 	expectedEndMs: number | undefined;
 };
 
-/** The queue of one engine. */
+/** The prefill queue of one engine. */
 export class PrefillQueue {
 	readonly #entries = new Map<string, QueuedPrompt>();
-	/** When the engine is through with what it has begun. */
+	/** When the engine completes the prompts that it has started. */
 	#idleAtMs = Number.NEGATIVE_INFINITY;
-	/** When the last prompt was reported read. */
+	/** When the last reported prefill was completed. */
 	#lastCompletedMs = Number.NEGATIVE_INFINITY;
 
 	get size(): number {
 		return this.#entries.size;
 	}
 
-	/** Time until a new prompt of some urgency would be begun, milliseconds. */
+	/** Time until a new prompt with the given priority would be started, milliseconds. */
 	waitMs(priority: number, nowMs: number): number {
 		this.#startDue(nowMs);
 		let sumMs = Math.max(0, this.#idleAtMs - nowMs);
@@ -60,7 +61,7 @@
 		return sumMs;
 	}
 
-	/** Prompts that would wait behind a new one of some urgency. */
+	/** Counts the waiting prompts that are less urgent than the given priority. */
 	countLowerPriority(priority: number, nowMs: number): number {
 		this.#startDue(nowMs);
 		let count = 0;
@@ -80,9 +81,9 @@
 	}
 
 	/**
-	 * Notes that a prompt is read; undefined if it was not known.
+	 * Records that a prefill has completed; returns undefined if the prompt is not in the queue.
 	 *
-	 * @param atMs - When the engine was through with it.
+	 * @param atMs - When the engine completed it.
 	 */
 	complete(id: string, atMs: number): PrefillReport | undefined {
 		const entry = this.#entries.get(id);
@@ -93,7 +94,7 @@
 		this.#entries.delete(id);
 		const startedMs = Math.max(this.#lastCompletedMs, entry.addedMs);
 		this.#lastCompletedMs = Math.max(this.#lastCompletedMs, atMs);
-		// Prompts are reported in the order in which they were read: nothing else was begun before this moment.
+		// Completions are reported in order, so no other waiting prompt can have started before this one completed.
 		this.#idleAtMs = this.#lastCompletedMs;
 		for (const other of this.#entries.values()) {
 			other.expectedEndMs = undefined;
@@ -104,7 +105,7 @@
 		};
 	}
 
-	/** Takes a prompt out that will not be read any more. */
+	/** Removes a prompt that will not be prefilled any more. */
 	remove(id: string, nowMs: number): void {
 		this.#startDue(nowMs);
 		const entry = this.#entries.get(id);
@@ -114,7 +115,7 @@
 		}
 	}
 
-	/** Time by which the most overdue prompt is overdue, milliseconds; 0 if none is. */
+	/** Time since the expected completion of the most overdue prompt, milliseconds; 0 if none is overdue. */
 	overdueMs(nowMs: number): number {
 		let maxMs = 0;
 		for (const {dueMs} of this.#entries.values()) {
@@ -124,7 +125,7 @@
 		return maxMs;
 	}
 
-	/** Begins what the engine should have begun by now. */
+	/** Starts the prompts that the engine should have started by now. */
 	#startDue(nowMs: number): void {
 		while (this.#idleAtMs <= nowMs) {
 			const next = this.#selectNext();
@@ -137,7 +138,7 @@
 		}
 	}
 
-	/** The most urgent prompt that is there when the engine is free; if none is, the first to come. */
+	/** Selects the most urgent prompt that has arrived when the engine becomes idle; without one, the next to arrive. */
 	#selectNext(): QueuedPrompt | undefined {
 		let next: QueuedPrompt | undefined;
 		for (const entry of this.#entries.values()) {
--- a/src/routing/roles.ts
+++ b/src/routing/roles.ts
@@ -1,17 +1,18 @@
 /**
- * Decides which engine should take another role: a pure function of demand, roles and time.
+ * Decides whether an engine should change its role, given the demand and the current roles.
  *
- * A change is worth it only if the overload it removes over the horizon exceeds the capacity that is lost while the
- * engine is away, plus the weight that the users give to a change.
+ * A change is made only if the overload that it removes over the planning horizon exceeds the capacity that is lost
+ * while the engine is unavailable, plus the weight that the users' policy assigns to a change.
  *
  * @module
  */
 import {ENGINE_ROLES, type EngineRole, type EngineSpeed} from './choice.js';
 import {MIN_HANDOFF_TOKENS} from './handoff.js';
 
+/** Batch size of a busy engine, over which the base duration of a decode step is divided. */
 const BUSY_BATCH_SIZE = 42;
 
-/** Work that comes in, in engines that it would keep busy. */
+/** Incoming work, as the number of engines that it would keep busy. */
 export type Demand = {
 	readonly prefill: number;
 	readonly decode: number;
@@ -20,20 +21,20 @@
 export type RoleCandidate = {
 	readonly server: string;
 	readonly role: EngineRole;
-	/** Requests it holds; the emptiest engine is changed first. */
+	/** Number of running requests; the engine with the fewest changes its role first. */
 	readonly running: number;
 };
 
 export type RoleProfile = {
-	/** Time over which a change must pay, seconds. */
+	/** Planning horizon within which a change must pay off, seconds. */
 	readonly horizonSeconds: number;
-	/** Time that a change takes an engine away, seconds. */
+	/** Time that an engine is unavailable because of a change, seconds. */
 	readonly downtimeSeconds: number;
-	/** Engine-seconds that a change must gain beyond its own cost. */
+	/** Engine-seconds that a change must gain in addition to its downtime. */
 	readonly changeWeight: number;
-	/** Shortest time between two changes of one pool, seconds. */
+	/** Minimum time between two changes in one pool, seconds. */
 	readonly cooldownSeconds: number;
-	/** Utilisation above which an engine cannot keep its deadlines. */
+	/** Utilisation above which an engine misses its latency targets. */
 	readonly targetUtilisation: number;
 };
 
@@ -49,18 +50,18 @@
 export type RoleChange = {
 	readonly server: string;
 	readonly role: EngineRole;
-	/** Engine-seconds gained over the horizon, net of the cost. */
+	/** Engine-seconds gained over the horizon, minus the cost of the change. */
 	readonly gain: number;
 	readonly reason: string;
 };
 
 /**
- * Chooses the role change that pays most, if one does.
+ * Chooses the role change with the largest gain; undefined if no change pays off.
  *
- * @param sinceChangeSeconds - Time since the last change of this pool.
+ * @param sinceChangeSeconds - Time since the last change in this pool, seconds.
  * @example
  * ```ts
- * chooseRoleChange({prefill: 5, decode: 1}, engines, 60, PROFILES.tallgrass)?.role; // 'prefill'
+ * chooseRoleChange({prefill: 5, decode: 1}, engines, 60, ROLE_PROFILES.tallgrass)?.role; // 'prefill'
  * ```
  */
 export function chooseRoleChange(
@@ -98,7 +99,7 @@
 	}
 }
 
-/** Engines' worth of work that cannot be done in time. */
+/** Estimates the demand beyond the target utilisation, as a number of engines. */
 function estimateOverload(demand: Demand, counts: Demand, profile: RoleProfile): number {
 	const excess = (need: number, count: number) => Math.max(0, need - (count * profile.targetUtilisation));
 	return excess(demand.prefill, counts.prefill) + excess(demand.decode, counts.decode);
@@ -111,22 +112,22 @@
 }
 
 /**
- * Estimates the work of a request in engine-milliseconds of each kind, in well-filled batches.
+ * Estimates the engine time of a request for prefill and for decoding in full batches, milliseconds.
  *
  * @example
  * ```ts
- * estimateWork({promptTokens: 3200, outputTokens: 80}, DEFAULT_SPEED).prefillMs; // 400
+ * estimateEngineTime({promptTokens: 3200, outputTokens: 80}, DEFAULT_ENGINE_SPEED).prefillMs; // 400
  * ```
  */
 export function estimateEngineTime(shape: {readonly promptTokens: number; readonly outputTokens: number}, speed: EngineSpeed): {readonly prefillMs: number; readonly decodeMs: number} {
 	const perTokenMs = (speed.stepMs / BUSY_BATCH_SIZE) + speed.stepMsPerRequest;
 	const promptMs = shape.promptTokens / speed.prefillTokensPerMs;
 	const decodeMs = shape.outputTokens * perTokenMs;
-	// Short prompts are computed where the answer is.
+	// Decode engines prefill short prompts themselves.
 	return shape.promptTokens > MIN_HANDOFF_TOKENS ? {prefillMs: promptMs, decodeMs} : {prefillMs: 0, decodeMs: decodeMs + promptMs};
 }
 
-/** Follows the demand over a window. A step machine: time is handed in. */
+/** Estimates the demand as an exponentially decaying average. Performs no I/O; the caller passes the current time. */
 export class DemandEstimator {
 	readonly #windowMs: number;
 	#prefill = 0;
@@ -138,7 +139,7 @@
 		this.#atMs = nowMs;
 	}
 
-	/** Notes a request's work, in engine-milliseconds of each kind. */
+	/** Adds the engine time of a request, milliseconds. */
 	record(prefillMs: number, decodeMs: number, nowMs: number): void {
 		this.#decay(nowMs);
 		this.#prefill += prefillMs / this.#windowMs;
--- a/src/routing/routes.ts
+++ b/src/routing/routes.ts
@@ -1,5 +1,5 @@
 /**
- * Routes, services and limits as operators publish them, and the choice of a route for a request.
+ * The routing configuration that operators publish (routes, services and limits) and the lookup of a request's route.
  *
  * @module
  */
@@ -7,7 +7,10 @@
 import {createProblem, type Problem} from '../base/problem.js';
 import type {Random} from '../base/random.js';
 
-/** What may be done again with a request: anything, nothing, or (a stream) as the route says. */
+/**
+ * Kinds of routes by what a failed request allows: `repeatable` requests may be retried, `once` requests may not if a
+ * server may have run them, and a `stream` may be continued at another server if the route is resumable.
+ */
 export const ROUTE_KINDS = {repeatable: 'repeatable', once: 'once', stream: 'stream'} as const;
 export type RouteKind = keyof typeof ROUTE_KINDS;
 
@@ -19,39 +22,40 @@
 export type Route = {
 	readonly name: string;
 	readonly host: string;
-	/** Begins and ends with a slash. */
+	/** Path prefix; begins and ends with a slash. */
 	readonly prefix: string;
 	readonly kind: RouteKind;
-	/** Longest time that a caller is kept, milliseconds. */
+	/** Maximum duration of a request, milliseconds. */
 	readonly timeoutMs: number;
-	/** Time within which an answer (of a stream: its first event) is worth most, milliseconds. */
+	/** Latency objective for the response, or for the first event of a stream, milliseconds. */
 	readonly objectiveMs: number;
-	/** Longest pause between events that is still on time, milliseconds. */
+	/** Maximum time between two events of a stream that still meets the target, milliseconds. */
 	readonly interTokenTargetMs: number;
 	/** 0 is the most urgent. */
 	readonly priority: number;
 	readonly targets: readonly WeightedService[];
-	/** Servers that one request may be sent to. */
+	/** Maximum number of attempts per request; attempts that sent no byte do not count. */
 	readonly maxAttempts: number;
-	/** Whether a stream may be gone on with at another server. */
+	/** Whether a stream that broke off may be resumed at another server. */
 	readonly isResumable: boolean;
 };
 
-/** What the engines of one service have in common. */
+/** Capacity of each engine of a service. */
 export type EnginePool = {
-	/** Requests that run at once. */
+	/** Maximum number of concurrent requests. */
 	readonly slots: number;
-	/** Tokens of KV cache. */
+	/** Capacity of the KV cache, tokens. */
 	readonly kvTokens: number;
 };
 
 export type ServiceSpec = {
 	readonly name: string;
-	/** Connections that a server accepts from all hosts together. */
+	/** Maximum number of connections that a server accepts from all hosts together. */
 	readonly maxConnections: number;
 	readonly engines?: EnginePool;
 };
 
+/** Limits on callers' requests and connections. */
 export type CallerLimits = {
 	readonly headerBytes: number;
 	readonly bodyBytes: number;
@@ -67,11 +71,11 @@
 };
 
 /**
- * Checks what the parts of a catalogue say of each other.
+ * Validates references and uniqueness across a routing configuration.
  *
  * @example
  * ```ts
- * checkCatalogue(catalogue); // Either.left: 'Route r-1 names the unknown service s-9.'
+ * validateRoutingConfig(config); // Either.left: 'Route r-1 names the unknown service s-9.'
  * ```
  */
 export function validateRoutingConfig(config: RoutingConfig): Either.Either<Problem, RoutingConfig> {
@@ -89,7 +93,7 @@
 	return Either.right(config);
 }
 
-/** Finds routes by host and longest prefix. */
+/** Looks up routes by host and longest matching path prefix. */
 export class RouteTable {
 	readonly config: RoutingConfig;
 	readonly #byHost = new Map<string, Route[]>();
@@ -109,10 +113,10 @@
 	}
 
 	/**
-	 * Finds the rule for a request.
+	 * Finds the route of a request.
 	 *
-	 * @param host - As in the host header, with or without a port.
-	 * @param target - Request target; a query is ignored.
+	 * @param host - Value of the host header, with or without a port.
+	 * @param target - Request target; the query is ignored.
 	 */
 	match(host: string, target: string): Route | undefined {
 		const path = target.split('?', 1)[0]!;
@@ -126,11 +130,11 @@
 }
 
 /**
- * Chooses one of a rule's services by weight.
+ * Selects one of a route's services at random, in proportion to their weights.
  *
  * @example
  * ```ts
- * chooseService(rule, () => 0.95); // the second of two services that are weighted 90 to 10
+ * chooseService(route, () => 0.95); // the second of two services that are weighted 90 to 10
  * ```
  */
 export function chooseService(route: Route, random: Random): string {
--- a/src/routing/scheduler.ts
+++ b/src/routing/scheduler.ts
@@ -1,9 +1,10 @@
 /**
- * Decides where streamed requests run: which engine reads a prompt and which engine makes the tokens.
+ * Schedules streamed requests: chooses the engine that prefills the prompt (the reader) and the engine that decodes
+ * (the runner).
  *
- * One placer sees every request of a pool, so it knows what each engine holds and is busy with, without asking: work
- * handed out and not yet reported back. Hosts that cannot reach it run one of their own over what they sent. A step
- * machine: time is handed in.
+ * One scheduler sees all requests of a pool, so it knows each engine's cache and load from the placements that have not
+ * been reported as done, without querying the engines. An entry host that cannot reach it uses a local scheduler, which
+ * only knows that host's requests. Performs no I/O; the caller passes the current time.
  *
  * @module
  */
@@ -21,87 +22,96 @@
 	readonly outputTokens: number;
 	/** 0 is the most urgent. */
 	readonly priority: number;
-	/** Time left until the first event is late, milliseconds. */
+	/** Remaining time until the first event is late, milliseconds. */
 	readonly objectiveMs: number;
-	/** Time left until the caller gives up, milliseconds. */
+	/** Remaining time until the caller gives up, milliseconds. */
 	readonly patienceMs: number;
-	/** Engines that this request must not go to. */
+	/** Engines that must not be used for this request. */
 	readonly excluded: readonly string[];
 };
 
-/** What a placer needs to know of a request that another one placed. */
+/** What a scheduler needs to know about a request that another scheduler placed. */
 export type ObservedRequest = Pick<PlacementRequest, 'id' | 'service' | 'parts' | 'promptTokens' | 'outputTokens' | 'patienceMs'>;
 
 export type PlacementDecision
 	= | {
 		readonly type: 'assignment';
 		readonly id: string;
-		/** Engine that reads the prompt ahead of the run; absent if the runner reads it. */
+		/** Engine that prefills the prompt for the runner; absent if the runner prefills it. */
 		readonly reader?: string;
-		/** Engine from which the one that reads fetches shared parts. */
+		/** Engine from which the prefilling engine fetches shared parts. */
 		readonly source?: string;
-		/** Tokens of the prompt that need not be read. */
+		/** Prompt tokens that need not be prefilled. */
 		readonly cachedTokens?: number;
 		/** Expected time until the first event, milliseconds. */
 		readonly expectedMs?: number;
-		/** Whether it cannot be in time any more and waits behind what can. */
+		/**
+		 * Whether the request will miss its objective and is therefore scheduled behind requests that can meet theirs.
+		 */
 		readonly isLate?: boolean;
-		/** Engine that runs the request; absent until its prompt is read. */
+		/** Engine that decodes; absent until the reader has completed the prefill. */
 		readonly runner?: string;
 	}
 	| {readonly type: 'rejection'; readonly id: string; readonly reason: string; readonly retryAfterMs: number};
 
+/** Progress of a request, as reported to the scheduler that placed it. */
 export const MILESTONES = {
-	/** The prompt is read. */
+	/** The reader has completed the prefill. */
 	read: 'read',
-	/** The first event has come. */
+	/** The first event has arrived. */
 	first: 'first',
 	done: 'done',
-	/** An engine stated that it did not take the request. */
+	/** An engine stated that it did not run the request. */
 	refused: 'refused',
-	/** An engine did not answer, or not whole; or the caller has left. */
+	/** An engine sent no response or an incomplete one, or the caller has disconnected. */
 	failed: 'failed',
 } as const;
 export type MilestoneName = keyof typeof MILESTONES;
 
-/** Urgency of what is late already: behind everything else. */
+/** Priority of requests that will be late: behind all others. */
 export const LATE_PRIORITY = 9;
-/** Time to hand a read prompt over: two exchanges and the set-up of a transfer, milliseconds. */
+/** Fixed time of a handoff from reader to runner, milliseconds: two exchanges and the setup of a transfer. */
 const HANDOFF_MS = 8;
-/** What the way to another data centre costs, milliseconds. */
+/** Network latency to another data centre, milliseconds. */
 const CROSS_DATA_CENTRE_MS = 2;
-/** A prompt that is read between the tokens of running requests delays them all: weight of each of them. */
+/** A prefill at a decode engine delays all its running requests; this is the weight of each of them in the cost. */
 const INTERFERENCE_WEIGHT = 0.02;
-/** Weight of the delay of each less urgent prompt that waits behind. */
+/** Weight of the delay that a prompt causes to each less urgent prompt that it overtakes. */
 const OVERTAKING_WEIGHT = 0.25;
-/** Share of failures that sound engines have now and then: a lost answer, a connection that was reset. */
+/** Failure rate that healthy engines reach occasionally because of lost responses or reset connections. */
 const FAILURE_TOLERANCE = 0.3;
-/** What a failed request costs, milliseconds: about what its caller would have waited. */
+/** Cost of a failed request, milliseconds: about the time that its caller would have waited. */
 const FAILURE_COST_MS = 4000;
 /** How long an engine that failed a request is avoided, milliseconds. */
 const FAILURE_SUSPICION_MS = 1500;
-/** How long an engine that refused a request is avoided: it is full, or changes its role. */
+/** How long an engine that refused a request is avoided, milliseconds: it is full or is changing its role. */
 const REFUSAL_SUSPICION_MS = 300;
-/** How long a request is remembered after its caller has given up, milliseconds. */
+/** How long a request is kept after its caller has given up, milliseconds. */
 const EXPIRY_GRACE_MS = 2000;
-/** What a full engine costs a further request, milliseconds: about the time of a short answer. */
+/** Cost of placing another request at a full engine, milliseconds: about the duration of a short response. */
 const FULL_ENGINE_COST_MS = 400;
-/** Share of its objective that a prompt's own reading may take before it counts as late by its size. */
+/** Share of the objective beyond which a prompt's prefill time alone makes it late, whatever the queue. */
 const LARGE_PROMPT_SHARE = 0.8;
-/** Reading that holds others up by less than this is not put off, milliseconds. */
+/** Prefills that delay others by less than this are not deferred. */
 const MIN_DEFERRABLE_MS = 50;
-/** A request is refused if it would begin only after this multiple of its caller's patience: estimates may be too high. */
+/**
+ * A request is refused if its first event is expected after this multiple of its caller's patience; above 1 because
+ * estimates may be too high.
+ */
 const REJECTION_FACTOR = 1.2;
 const MIN_RETRY_AFTER_MS = 200;
-/** When to come back if no engine is known: engines announce themselves about once a second. */
+/** Retry time if no engine is available, milliseconds: engines announce themselves about once a second. */
 const NO_ENGINE_RETRY_MS = 1000;
-/** Time from a prompt read elsewhere to the first event, milliseconds: about two exchanges, a transfer and some steps. */
+/**
+ * Time from the end of the reader's prefill to the first event, milliseconds: about two exchanges, a transfer and some
+ * steps.
+ */
 const HANDOFF_FIRST_EVENT_MS = 30;
-/** The same at the engine that read it. */
+/** Time from the end of the runner's own prefill to the first event, milliseconds. */
 const DIRECT_FIRST_EVENT_MS = 10;
 
 type OpenRequest = {
-	/** Undefined if another placer decided. */
+	/** Undefined if another scheduler placed it. */
 	readonly request: PlacementRequest | undefined;
 	readonly expiresMs: number;
 	reader: string | undefined;
@@ -111,14 +121,14 @@
 type PrefillOption = {
 	readonly engine: EngineState;
 	readonly plan: PrefillPlan;
-	/** Time until the prompt is read. */
+	/** Time until the prefill is completed. */
 	readonly prefilledMs: number;
-	/** The same, with what it costs others. */
+	/** `prefilledMs` plus the cost to other requests and the risk of a failure. */
 	readonly costMs: number;
 };
 
 type EngineSelection = {
-	/** Engine that reads ahead; without it the runner reads. */
+	/** Engine that prefills for a runner that is chosen later; undefined if the runner prefills itself. */
 	readonly reader: EngineState | undefined;
 	readonly runner: EngineState | undefined;
 	readonly plan: PrefillPlan;
@@ -126,12 +136,12 @@
 	readonly firstEventMs: number;
 };
 
-/** The placer of one or more pools. */
+/** Schedules the requests of one or more pools. */
 export class Scheduler {
 	readonly #engines = new Map<string, EngineState>();
 	readonly #openRequests = new Map<string, OpenRequest>();
 
-	/** Replaces the engines to choose from; what is known of those that stay is kept. */
+	/** Replaces the set of engines; keeps the state of those whose incarnation is unchanged. */
 	updateEngines(engines: readonly EngineInfo[]): void {
 		const names = new Set(engines.map(({server}) => server));
 		for (const server of this.#engines.keys()) {
@@ -140,22 +150,22 @@
 			}
 		}
 
-		for (const facts of engines) {
-			const known = this.#engines.get(facts.server);
-			if (known?.info.incarnation === facts.incarnation) {
-				known.info = facts;
+		for (const info of engines) {
+			const known = this.#engines.get(info.server);
+			if (known?.info.incarnation === info.incarnation) {
+				known.info = info;
 			} else {
-				this.#engines.set(facts.server, new EngineState(facts));
+				this.#engines.set(info.server, new EngineState(info));
 			}
 		}
 	}
 
-	/** Requests that were placed and have not ended. */
+	/** Number of requests that were placed and have not ended. */
 	get openCount(): number {
 		return this.#openRequests.size;
 	}
 
-	/** Decides for a new request, or again for one whose engine failed. */
+	/** Places a new request, or again one whose engine failed. */
 	place(request: PlacementRequest, nowMs: number): PlacementDecision {
 		this.#expireRequests(nowMs);
 		this.#closeRequest(request.id, nowMs);
@@ -164,8 +174,9 @@
 			return reject(request, 'no engine makes tokens', NO_ENGINE_RETRY_MS);
 		}
 
-		// What waiting has made late goes behind what can be in time. A prompt that is late by its size alone keeps its turn,
-		// since it would never get one otherwise, and a short one too, since it holds nobody up.
+		// A request that queueing has made late is scheduled behind those that can still meet their objective. A prompt
+		// that is late by its size alone keeps its priority, since it would starve otherwise; so does a short one, since
+		// it hardly delays others.
 		const {workMs} = onTime.plan;
 		const isDeferrable = workMs > MIN_DEFERRABLE_MS && workMs < request.objectiveMs * LARGE_PROMPT_SHARE;
 		const isLate = isDeferrable && onTime.firstEventMs > request.objectiveMs;
@@ -178,53 +189,53 @@
 		return this.#assign(request, choice, isLate, nowMs);
 	}
 
-	/** Notes where a request runs on another placer's word, to take over from it if need be. */
+	/** Records another scheduler's placement, so that this one can take over if the other fails. */
 	recordPlacement(request: ObservedRequest, reader: string | undefined, runner: string, nowMs: number): void {
 		this.#closeRequest(request.id, nowMs);
-		const open: OpenRequest = {
+		const openRequest: OpenRequest = {
 			request: undefined, expiresMs: nowMs + request.patienceMs + EXPIRY_GRACE_MS, reader, runner,
 		};
-		this.#openRequests.set(request.id, open);
+		this.#openRequests.set(request.id, openRequest);
 		this.#engines.get(reader ?? '')?.recordCached(request.parts);
 		this.#engines.get(runner)?.startRun(request.id, toRequestSize(request), undefined);
 	}
 
-	/** Decides where a request runs whose prompt was read on another placer's word. */
+	/** Chooses the runner of a request whose prefill was placed by another scheduler. */
 	chooseRunner(request: PlacementRequest, reader: string, nowMs: number): PlacementDecision {
 		this.#closeRequest(request.id, nowMs);
-		const open: OpenRequest = {
+		const openRequest: OpenRequest = {
 			request, expiresMs: nowMs + request.patienceMs + EXPIRY_GRACE_MS, reader, runner: undefined,
 		};
-		this.#openRequests.set(request.id, open);
-		return this.#assignRunner(open, request, nowMs);
+		this.#openRequests.set(request.id, openRequest);
+		return this.#assignRunner(openRequest, request, nowMs);
 	}
 
-	/** Takes how far a request is; answers with a runner once its prompt is read. */
+	/** Records a request's progress; returns the choice of a runner once the reader has completed the prefill. */
 	recordMilestone(id: string, milestone: MilestoneName, server: string | undefined, nowMs: number): PlacementDecision | undefined {
-		const open = this.#openRequests.get(id);
+		const openRequest = this.#openRequests.get(id);
 		if (server !== undefined && (milestone === MILESTONES.failed || milestone === MILESTONES.refused)) {
 			this.#suspect(server, milestone === MILESTONES.failed, nowMs);
 		}
 
-		if (!open) {
+		if (!openRequest) {
 			return undefined;
 		}
 
 		switch (milestone) {
 			case MILESTONES.read: {
-				this.#engines.get(open.reader ?? '')?.completePrefill(id, nowMs);
-				return open.request && this.#assignRunner(open, open.request, nowMs);
+				this.#engines.get(openRequest.reader ?? '')?.completePrefill(id, nowMs);
+				return openRequest.request && this.#assignRunner(openRequest, openRequest.request, nowMs);
 			}
 
 			case MILESTONES.first: {
-				const runner = this.#engines.get(open.runner ?? '');
+				const runner = this.#engines.get(openRequest.runner ?? '');
 				runner?.completePrefill(id, nowMs);
 				runner?.recordFirstEvent(id, nowMs);
 				return undefined;
 			}
 
 			case MILESTONES.done: {
-				this.#engines.get(open.runner ?? '')?.recordOutcome(false, nowMs);
+				this.#engines.get(openRequest.runner ?? '')?.recordOutcome(false, nowMs);
 				this.#closeRequest(id, nowMs);
 				return undefined;
 			}
@@ -245,10 +256,10 @@
 		}
 	}
 
-	/** The engines that bring the first event soonest; undefined if none makes tokens. */
+	/** Selects the engines with the lowest cost for the first event; undefined if no engine decodes. */
 	#selectEngines(request: PlacementRequest, nowMs: number, isLate: boolean): EngineSelection | undefined {
 		const holders = this.#listEngines(request).filter(engine => !engine.isSuspected(nowMs));
-		const prefillEngines = holders.filter(({info: facts}) => facts.role === ENGINE_ROLES.prefill);
+		const prefillEngines = holders.filter(({info}) => info.role === ENGINE_ROLES.prefill);
 		const runners = this.#listRunners(request, nowMs);
 		const direct = findCheapest(runners.map(engine => this.#evaluatePrefill(engine, request, holders, {nowMs, isLate})));
 		if (!direct) {
@@ -256,10 +267,10 @@
 		}
 
 		const runCostMs = Math.min(...runners.map(engine => this.#estimateRunCostMs(engine, request, nowMs)));
-		const ahead = findCheapest(prefillEngines.map(engine => this.#evaluatePrefill(engine, request, holders, {nowMs, isLate})));
-		if (ahead && ahead.costMs + HANDOFF_MS + runCostMs < direct.costMs) {
+		const separate = findCheapest(prefillEngines.map(engine => this.#evaluatePrefill(engine, request, holders, {nowMs, isLate})));
+		if (separate && separate.costMs + HANDOFF_MS + runCostMs < direct.costMs) {
 			return {
-				reader: ahead.engine, runner: undefined, plan: ahead.plan, firstEventMs: ahead.prefilledMs + HANDOFF_MS + HANDOFF_FIRST_EVENT_MS,
+				reader: separate.engine, runner: undefined, plan: separate.plan, firstEventMs: separate.prefilledMs + HANDOFF_MS + HANDOFF_FIRST_EVENT_MS,
 			};
 		}
 
@@ -287,8 +298,8 @@
 		};
 	}
 
-	#assignRunner(open: OpenRequest, request: PlacementRequest, nowMs: number): PlacementDecision {
-		const reader = this.#engines.get(open.reader ?? '');
+	#assignRunner(openRequest: OpenRequest, request: PlacementRequest, nowMs: number): PlacementDecision {
+		const reader = this.#engines.get(openRequest.reader ?? '');
 		let chosen: EngineState | undefined;
 		let lowestMs = Number.POSITIVE_INFINITY;
 		for (const engine of this.#listRunners(request, nowMs)) {
@@ -303,20 +314,20 @@
 			return reject(request, 'no engine makes tokens', NO_ENGINE_RETRY_MS);
 		}
 
-		open.runner = chosen.info.server;
+		openRequest.runner = chosen.info.server;
 		chosen.startRun(request.id, toRequestSize(request), nowMs + lowestMs + HANDOFF_FIRST_EVENT_MS);
-		return {type: 'assignment', id: request.id, runner: open.runner};
+		return {type: 'assignment', id: request.id, runner: openRequest.runner};
 	}
 
-	/** Engines that make tokens; suspected ones too if there are no others. */
+	/** Lists engines that decode; suspected ones only if there are no others. */
 	#listRunners(request: PlacementRequest, nowMs: number): EngineState[] {
 		const runners = this.#listEngines(request).filter(engine => engine.info.role !== ENGINE_ROLES.prefill);
-		const trusted = runners.filter(engine => !engine.isSuspected(nowMs));
-		return trusted.length > 0 ? trusted : runners;
+		const healthy = runners.filter(engine => !engine.isSuspected(nowMs));
+		return healthy.length > 0 ? healthy : runners;
 	}
 
 	#listEngines(request: PlacementRequest): EngineState[] {
-		return [...this.#engines.values()].filter(({info: facts}) => facts.service === request.service && !request.excluded.includes(facts.server));
+		return [...this.#engines.values()].filter(({info}) => info.service === request.service && !request.excluded.includes(info.server));
 	}
 
 	#evaluatePrefill(engine: EngineState, request: PlacementRequest, holders: readonly EngineState[], {nowMs, isLate}: {nowMs: number; isLate: boolean}): PrefillOption {
@@ -334,34 +345,34 @@
 		};
 	}
 
-	/** What running a request at an engine costs it and the ones beside it, milliseconds. */
+	/** Cost of running a request at an engine, for it and for the requests in the same batch, milliseconds. */
 	#estimateRunCostMs(engine: EngineState, request: PlacementRequest, nowMs: number): number {
 		const {slots, kvTokens} = engine.info;
-		const need = request.promptTokens + request.outputTokens;
-		const isFull = engine.runningCount >= slots || engine.contextTokens + need > kvTokens;
-		const excess = Math.max(0, engine.runningCount + 1 - slots) + Math.max(0, (engine.contextTokens + need - kvTokens) / need);
+		const neededTokens = request.promptTokens + request.outputTokens;
+		const isFull = engine.runningCount >= slots || engine.contextTokens + neededTokens > kvTokens;
+		const excess = Math.max(0, engine.runningCount + 1 - slots) + Math.max(0, (engine.contextTokens + neededTokens - kvTokens) / neededTokens);
 		const waitMs = isFull ? FULL_ENGINE_COST_MS * (1 + excess) : 0;
-		return (engine.contextStepMs(need) * (request.outputTokens + engine.runningCount)) + waitMs + estimateFailureCostMs(engine, nowMs);
+		return (engine.contextStepMs(neededTokens) * (request.outputTokens + engine.runningCount)) + waitMs + estimateFailureCostMs(engine, nowMs);
 	}
 
 	#closeRequest(id: string, nowMs: number): void {
-		const open = this.#openRequests.get(id);
+		const openRequest = this.#openRequests.get(id);
 		this.#openRequests.delete(id);
-		for (const server of [open?.reader, open?.runner]) {
+		for (const server of [openRequest?.reader, openRequest?.runner]) {
 			this.#engines.get(server ?? '')?.endRequest(id, nowMs);
 		}
 	}
 
 	#expireRequests(nowMs: number): void {
-		for (const [id, open] of this.#openRequests) {
-			if (open.expiresMs < nowMs) {
+		for (const [id, openRequest] of this.#openRequests) {
+			if (openRequest.expiresMs < nowMs) {
 				this.#closeRequest(id, nowMs);
 			}
 		}
 	}
 }
 
-/** What it costs that an engine is likely to fail a request, milliseconds. */
+/** Expected cost of a failure at an engine, milliseconds. */
 function estimateFailureCostMs(engine: EngineState, nowMs: number): number {
 	return Math.max(0, engine.failureRate(nowMs) - FAILURE_TOLERANCE) * FAILURE_COST_MS;
 }
--- a/src/serving/caller.ts
+++ b/src/serving/caller.ts
@@ -1,5 +1,5 @@
 /**
- * The caller's side of one request: its body, its answer, and whether it is still there.
+ * The caller's side of one request: reads the body, writes the response, and reports how the request ended.
  *
  * @module
  */
@@ -8,27 +8,29 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import {createProblem, type Problem} from '../base/problem.js';
 
+/** How a caller's request ended. */
 export const CALL_OUTCOMES = {
-	/** Answered whole. */
+	/** A complete response was sent. */
 	answered: 'answered',
-	/** Refused or failed with an answer of our own. */
+	/** An error response of this system was sent. */
 	refused: 'refused',
-	/** Broken off after the answer had begun. */
+	/** The connection was closed after the response had started. */
 	broken: 'broken',
 	/** The caller closed its connection. */
 	gone: 'gone',
 } as const;
 export type CallOutcome = keyof typeof CALL_OUTCOMES;
 
+/** How the end of a response body is marked. */
 export const FRAMINGS = {
-	/** The end of the answer is marked. */
+	/** By a content length or chunked encoding. */
 	closed: 'closed',
-	/** The answer ends with its connection. */
+	/** By closing the connection. */
 	open: 'open',
 } as const;
 export type Framing = keyof typeof FRAMINGS;
 
-/** One request of a caller; it ends exactly once. */
+/** One request of a caller and the response to it. It ends exactly once. */
 export class Caller {
 	readonly request: IncomingMessage;
 	readonly #response: ServerResponse;
@@ -48,12 +50,12 @@
 		return this.#outcome !== undefined;
 	}
 
-	/** Whether the head of an answer has gone out. */
+	/** Whether the head of a response has been sent. */
 	get hasStartedResponse(): boolean {
 		return this.#response.headersSent;
 	}
 
-	/** What the caller was told if the request failed. */
+	/** The problem that was reported to the caller if the request failed. */
 	get problem(): Problem | undefined {
 		return this.#problem;
 	}
@@ -62,11 +64,12 @@
 		return this.#response.statusCode;
 	}
 
+	/** Registers a handler that is called once the request has ended. */
 	onEnd(handler: (outcome: CallOutcome) => void): void {
 		this.#endHandlers.push(handler);
 	}
 
-	/** Reads the whole body; undefined if the caller has left. */
+	/** Reads the whole body; null without a body, undefined if the caller has disconnected. */
 	async readBody(maxBytes: number): Promise<Either.Either<Problem, Buffer | null> | undefined> {
 		const {request} = this;
 		const hasBody = request.headers['content-length'] !== undefined || request.headers['transfer-encoding'] !== undefined;
@@ -100,9 +103,10 @@
 	}
 
 	/**
-	 * Answers whole.
+	 * Sends a complete response.
 	 *
-	 * @param framing - An open answer ends with its connection, as it came: nobody can tell whether it is whole.
+	 * @param framing - With `open`, the response has no content length and closes the connection, like the server's
+	 * response; nobody can tell whether it is complete.
 	 */
 	respond(status: number, headers: OutgoingHttpHeaders, body: Buffer, framing: Framing = FRAMINGS.closed): void {
 		if (this.isEnded) {
@@ -115,7 +119,7 @@
 		this.#end(CALL_OUTCOMES.answered);
 	}
 
-	/** Begins an answer that is passed on as it comes. */
+	/** Sends the head of a response that is streamed. */
 	startResponse(status: number, headers: OutgoingHttpHeaders, framing: Framing = FRAMINGS.closed): void {
 		if (!this.isEnded) {
 			this.#applyFraming(framing);
@@ -124,7 +128,7 @@
 		}
 	}
 
-	/** Passes a piece on; false if the caller does not keep up, `onDrain` is called once it does. */
+	/** Writes a chunk. Returns false if the send buffer is full; `onDrain` is called once it has drained. */
 	write(chunk: Buffer, onDrain: () => void): boolean {
 		if (this.isEnded || this.#response.write(chunk)) {
 			return true;
@@ -134,7 +138,7 @@
 		return false;
 	}
 
-	/** Ends an answer that was passed on whole. */
+	/** Ends a streamed response that is complete. */
 	endResponse(): void {
 		if (!this.isEnded) {
 			this.#response.end();
@@ -142,7 +146,10 @@
 		}
 	}
 
-	/** Ends the request with a problem; an answer that has begun is broken off so that it does not look whole. */
+	/**
+	 * Ends the request with an error response. If a response has started, closes the connection so that it cannot look
+	 * complete.
+	 */
 	fail(problem: Problem, headers: OutgoingHttpHeaders = {}): void {
 		if (this.isEnded) {
 			return;
@@ -157,7 +164,7 @@
 
 		const body = Buffer.from(JSON.stringify({error: {code: problem.code, name: problem.name, message: problem.text}}));
 		const retryAfter = problem.retryAfterSeconds === undefined ? {} : {'retry-after': String(problem.retryAfterSeconds)};
-		// Bytes of a body that was not read would be taken for the next request.
+		// An unread rest of the body would be parsed as the next request on this connection.
 		const close = this.request.complete ? {} : {connection: 'close'};
 		this.#response.writeHead(problem.status, {
 			...headers,
--- a/src/serving/context.ts
+++ b/src/serving/context.ts
@@ -1,5 +1,5 @@
 /**
- * What all requests of one host share: the way to the servers, what is known of them, and the budget of repeats.
+ * Dependencies and helpers that all requests of one entry host share, and the state of a single request.
  *
  * @module
  */
@@ -35,14 +35,14 @@
 	readonly retryBudget: ServiceRetryBudget;
 	readonly placement: PlacementClient;
 	readonly metrics: ServingMetrics;
-	/** Servers that take new work. */
+	/** Lists the servers that accept new work. */
 	readonly listServers: () => readonly Announcement[];
 	readonly findServer: (server: string) => Announcement | undefined;
-	/** Entry hosts, this one included. */
+	/** Number of entry hosts, including this one. */
 	readonly countHosts: () => number;
 };
 
-/** One request on its way through this host. */
+/** One request that this host is serving. */
 export type Call = {
 	readonly caller: Caller;
 	readonly head: RequestHead;
@@ -50,55 +50,61 @@
 	readonly routeTable: RouteTable;
 	readonly service: string;
 	readonly body: Buffer | null;
-	/** Monotonic times, milliseconds. */
+	/** Monotonic time, milliseconds. */
 	readonly arrivedMs: number;
+	/** Monotonic time, milliseconds. */
 	readonly deadlineMs: number;
-	/** Notes for the line that the log gets when the request has ended. */
+	/** Fields for the log line that is written when the request has ended. */
 	readonly logFields: RequestLogFields;
 };
 
-/** One sending to a server that was announced. */
+/** An attempt at a server, with the server's announcement. */
 export type AttemptOptions = Omit<Attempt, 'server'> & {
 	readonly server: Announcement;
 };
 
-/** How a request fared, for the log. */
+/** Fields of a request's log line. */
 export type RequestLogFields = {
 	readonly servers: string[];
+	/** Host whose scheduler placed the request; 'self' for this host. */
 	placedBy?: string;
+	/** Engine that prefilled the prompt for the runner. */
 	reader?: string;
-	/** Engine from which shared parts were fetched. */
+	/** Engine from which shared prompt parts were fetched. */
 	source?: string;
 	placedMs?: number;
-	/** Tokens of the prompt, and those that the placer took for held. */
 	promptTokens?: number;
+	/** Prompt tokens that the scheduler expected to be cached. */
 	cachedTokens?: number;
-	/** What the placer expected until the prompt is read, milliseconds. */
+	/** Time to the first event that the scheduler expected, milliseconds. */
 	expectedMs?: number;
-	/** Whether the placer put it behind what can still be in time. */
+	/** Whether the scheduler put it behind requests that can still meet their objective. */
 	isLate?: boolean;
 	readMs?: number;
 	firstMs?: number;
 	note?: string;
 };
 
-/** Connections that every host may open to a server whatever the number of hosts. */
+/** Number of connections that a host may always open to a server, whatever the number of hosts. */
 const MIN_CONNECTIONS = 4;
-/** Share of a server's connections that the hosts divide; the rest is for hosts that come and go. */
+/**
+ * Share of a server's connections that the hosts divide among themselves; the rest is a margin for hosts that join or
+ * leave.
+ */
 const CONNECTION_SHARE = 0.8;
 const MAX_CONNECTIONS = 64;
-/** How long callers wait when no server is known: announcements come every second or so. */
+/** Retry time for callers when no server is available: servers announce themselves about once a second. */
 const NO_SERVER_RETRY_SECONDS = 1;
 
 /**
- * Sends a call to a server.
+ * Sends a request to a server.
  *
  * @example
  * ```ts
- * const exchange = sendAttempt(core, call, {server, phase: 'full', deadlineMs: 800}, sink);
+ * const exchange = sendAttempt(context, call, {server, phase: 'full', deadlineMs: 800}, handler);
  * ```
  */
-export function sendAttempt(context: ServingContext, call: Call, {server, ...attempt}: AttemptOptions, sink: ResponseHandler): Exchange {
+export function sendAttempt(context: ServingContext, call: Call, {server, ...attempt}: AttemptOptions, handler: ResponseHandler): Exchange {
 	const {request} = call.caller;
 	const cap = call.routeTable.findService(call.service)?.maxConnections ?? MAX_CONNECTIONS;
 	const share = Math.floor((cap * CONNECTION_SHARE) / context.countHosts());
@@ -109,36 +115,36 @@
 		headers: context.protocol.buildRequestHeaders(request, {...attempt, server: server.server}),
 		body: call.body,
 		maxConnections: Math.max(MIN_CONNECTIONS, Math.min(MAX_CONNECTIONS, share)),
-	}, sink);
+	}, handler);
 }
 
 /**
- * Tells why an answer does not belong to a call; undefined if it does.
+ * Finds the reason why a response cannot belong to a request; undefined if it can.
  *
  * @example
  * ```ts
- * findMismatch(call, head); // 'it answers request 9c41'
+ * findResponseMismatch(call, head); // 'it belongs to request 9c41'
  * ```
  */
 export function findResponseMismatch(call: Call, head: ResponseHead): string | undefined {
 	if (head.echoedId !== undefined && head.echoedId !== call.head.id) {
-		return `it answers request ${head.echoedId}`;
+		return `it belongs to request ${head.echoedId}`;
 	}
 
 	const isSuccess = head.status >= 200 && head.status < 300;
 	if (isSuccess && head.echoedId === undefined) {
-		return 'it names no request';
+		return 'it has no request ID';
 	}
 
-	return head.headers['content-encoding'] === undefined ? undefined : 'its body is encoded';
+	return head.headers['content-encoding'] === undefined ? undefined : 'it has a content encoding';
 }
 
 /**
- * The problem of a call for which no server is in use.
+ * Creates the problem to report when a service has no available server.
  *
  * @example
  * ```ts
- * call.caller.fail(noServer(call));
+ * call.caller.fail(createNoServerProblem(call));
  * ```
  */
 export function createNoServerProblem(call: Call): Problem {
@@ -146,11 +152,11 @@
 }
 
 /**
- * Takes one repeat of a service's budget; false if none is left.
+ * Consumes one retry of a service's budget; returns false if the budget is exhausted.
  *
  * @example
  * ```ts
- * if (!takeRepeat(core, call.service)) { … }
+ * if (!tryAcquireRetry(context, call.service)) { … }
  * ```
  */
 export function tryAcquireRetry(context: ServingContext, service: string): boolean {
@@ -162,7 +168,7 @@
 	return isGranted;
 }
 
-/** Notes what a failed exchange says about its server. */
+/** Records and logs a failed exchange with a server. */
 export function recordAttemptFailure(context: ServingContext, server: Announcement, failure: AttemptFailure, error: Error): void {
 	context.metrics.failures.inc({failure});
 	if (failure === 'unsent') {
--- a/src/serving/engines.ts
+++ b/src/serving/engines.ts
@@ -1,5 +1,5 @@
 /**
- * Engines as a placer needs them, from announcements and the publication.
+ * Combines the servers' announcements with the published routing configuration into the scheduler's list of engines.
  *
  * @module
  */
@@ -8,24 +8,24 @@
 import type {EngineInfo} from '../routing/engine.js';
 
 /**
- * Lists the engines of all pools that are published.
+ * Lists the announced engines of all published services that have engines.
  *
  * @example
  * ```ts
- * placer.updateEngines(listEngineFacts(roster.listUsable(), table));
+ * scheduler.updateEngines(listEngines(servers, routeTable));
  * ```
  */
-export function listEngines(servers: readonly Announcement[], table: RouteTable | undefined): EngineInfo[] {
-	const facts: EngineInfo[] = [];
+export function listEngines(servers: readonly Announcement[], routeTable: RouteTable | undefined): EngineInfo[] {
+	const engines: EngineInfo[] = [];
 	for (const {server, incarnation, services, dataCentre, role} of servers) {
 		const service = services?.[0] ?? '';
-		const pool = table?.findService(service)?.engines;
+		const pool = routeTable?.findService(service)?.engines;
 		if (pool) {
-			facts.push({
+			engines.push({
 				server, incarnation, service, dataCentre: dataCentre ?? '', role: role ?? 'mixed', ...pool,
 			});
 		}
 	}
 
-	return facts;
+	return engines;
 }
--- a/src/serving/events.ts
+++ b/src/serving/events.ts
@@ -1,5 +1,5 @@
 /**
- * Splits a stream into whole events, so that another server can go on after any of them.
+ * Splits a stream of server-sent events at event boundaries, so that another server can resume it after any event.
  *
  * @module
  */
@@ -8,38 +8,38 @@
 const LINE_FEED = 10;
 const CARRIAGE_RETURN = 13;
 
-/** Collects bytes and hands out whole events. */
+/** Buffers the bytes of a stream and returns complete events. */
 export class EventSplitter {
-	#rest: Buffer = Buffer.alloc(0);
+	#incomplete: Buffer = Buffer.alloc(0);
 	#lastId: string | undefined;
 
-	/** Identity of the last whole event that was handed out. */
+	/** ID of the last complete event that was returned. */
 	get lastEventId(): string | undefined {
 		return this.#lastId;
 	}
 
 	/**
-	 * Adds bytes and returns the events that became whole.
+	 * Appends bytes and returns the events that they complete.
 	 *
 	 * @example
 	 * ```ts
-	 * splitter.add(Buffer.from('id: 3\ndata: a\n\nid: 4')); // 'id: 3\ndata: a\n\n'
+	 * splitter.push(Buffer.from('id: 3\ndata: a\n\nid: 4')); // 'id: 3\ndata: a\n\n'
 	 * ```
 	 */
 	push(chunk: Buffer): Buffer {
-		const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
+		const bytes = this.#incomplete.length === 0 ? chunk : Buffer.concat([this.#incomplete, chunk]);
 		const end = findLastBoundary(bytes);
-		this.#rest = bytes.subarray(end);
+		this.#incomplete = bytes.subarray(end);
 		const whole = bytes.subarray(0, end);
 		this.#noteIds(whole);
 		return whole;
 	}
 
-	/** Takes out the part of an event that has come so far. */
+	/** Removes and returns the buffered bytes of an incomplete event. */
 	takeIncomplete(): Buffer {
-		const rest = this.#rest;
-		this.#rest = Buffer.alloc(0);
-		return rest;
+		const incomplete = this.#incomplete;
+		this.#incomplete = Buffer.alloc(0);
+		return incomplete;
 	}
 
 	#noteIds(whole: Buffer): void {
@@ -53,7 +53,7 @@
 	}
 }
 
-/** Offset behind the last blank line; 0 without one. */
+/** Finds the offset after the last blank line; 0 without one. */
 function findLastBoundary(bytes: Buffer): number {
 	for (let index = bytes.length - 1; index > 0; index--) {
 		if (bytes[index] !== LINE_FEED) {
--- a/src/serving/gateway.ts
+++ b/src/serving/gateway.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP side towards callers: finds a request's route, runs it, and logs how it ended.
+ * HTTP server for callers: finds each request's route, serves it, and logs its outcome.
  *
  * @module
  */
@@ -18,24 +18,24 @@
 
 export type GatewayOptions = {
 	readonly context: ServingContext;
-	/** The routes in force; undefined before the first publication. */
+	/** Returns the current routes; undefined before the first publication. */
 	readonly getRouteTable: () => RouteTable | undefined;
 };
 
-/** Limits until operators have published theirs. */
+/** Limits that apply until operators have published theirs. */
 const DEFAULT_LIMITS: CallerLimits = {
 	headerBytes: 16_384, bodyBytes: 4 * 1024 * 1024, headerTimeoutMs: 3000, idleTimeoutMs: 15_000,
 };
-/** Largest head that is parsed at all; what operators allow is checked behind it. */
+/** Maximum header size of the HTTP parser. The operators' limit is checked after parsing. */
 const PARSER_HEADER_BYTES = 65_536;
 const BACKLOG = 1024;
-/** Time from a start of all hosts at once until callers are served again: an election and a round of announcements. */
+/** Time until callers are served after all hosts have started at once: an election and a round of announcements. */
 const RECOVERY_MS = 1600;
 const MIN_RETRY_MS = 500;
-/** A caller that gives no deadline is not kept longer than its route says. */
+/** Deadline of a request without one; the timeout of its route still applies. */
 const NO_DEADLINE_MS = Number.POSITIVE_INFINITY;
 
-/** The listening server. Whoever started it closes it. */
+/** The HTTP server for callers. Must be closed by its creator. */
 export class Gateway {
 	readonly #options: GatewayOptions;
 	readonly #server: http.Server;
@@ -56,12 +56,12 @@
 		});
 	}
 
-	/** Requests that are being served. */
+	/** Number of requests in progress. */
 	get activeCount(): number {
 		return this.#active;
 	}
 
-	/** Applies limits that concern connections. */
+	/** Applies the time limits of connections. */
 	applyLimits(limits: CallerLimits): void {
 		this.#server.headersTimeout = limits.headerTimeoutMs;
 		this.#server.keepAliveTimeout = limits.idleTimeoutMs;
@@ -78,12 +78,12 @@
 		});
 	}
 
-	/** From now on every answer ends its connection. */
+	/** Closes each connection after the next response on it. */
 	startDraining(): void {
 		this.#isStopping = true;
 	}
 
-	/** Accepts no connection any more and ends idle ones. */
+	/** Stops accepting connections and closes idle ones. */
 	stopAccepting(): void {
 		this.#server.close();
 		this.#server.closeIdleConnections();
@@ -126,7 +126,7 @@
 
 	async #run(call: Call): Promise<void> {
 		const {context} = this.#options;
-		const {caller, route: rule, head, service, routeTable: table} = call;
+		const {caller, route, head, service, routeTable} = call;
 		context.retryBudget.recordRequest(service, context.clock.monotonicMs());
 		const timer = setTimeout(() => {
 			caller.fail(createProblem('deadlineExceeded'));
@@ -134,16 +134,16 @@
 		caller.onEnd(() => {
 			clearTimeout(timer);
 		});
-		const isScheduled = rule.kind === ROUTE_KINDS.stream && head.prompt !== undefined && table.findService(service)?.engines !== undefined;
+		const isScheduled = route.kind === ROUTE_KINDS.stream && head.prompt !== undefined && routeTable.findService(service)?.engines !== undefined;
 		try {
 			await (isScheduled ? new StreamCall(context, call, head.prompt) : new PlainCall(context, call)).run();
 		} catch (error) {
-			context.logger.error('An unexpected fault.', {request: head.id, error: String(error), stack: (error as Error).stack});
+			context.logger.error('Unexpected error while serving a request.', {request: head.id, error: String(error), stack: (error as Error).stack});
 			caller.fail(createProblem('internal', `Request ${head.id}.`));
 		}
 	}
 
-	/** Reads what a request asks for; undefined if its caller left meanwhile. */
+	/** Parses a request and finds its route; undefined if its caller has disconnected. */
 	async #createCall(caller: Caller, arrivedMs: number): Promise<Either.Either<Problem, Call> | undefined> {
 		const {context, getRouteTable} = this.#options;
 		const {request} = caller;
@@ -162,7 +162,7 @@
 			return body;
 		}
 
-		// Routes may have changed while the body arrived.
+		// The route is looked up last because the routes may have changed while the body arrived.
 		return this.#findRoute(caller, {head: head.right, body: body.right, arrivedMs});
 	}
 
@@ -190,7 +190,7 @@
 		});
 	}
 
-	/** When to come back to a host that knows no routes: it, or all of them, started a moment ago. */
+	/** Estimates when a host without routes will have them: it, or all hosts, started a moment ago. */
 	#estimateRecoverySeconds(): number {
 		const upMs = this.#options.context.clock.monotonicMs() - this.#startedMs;
 		return Math.ceil(Math.max(MIN_RETRY_MS, RECOVERY_MS - upMs) / 100) / 10;
@@ -213,7 +213,7 @@
 	}
 }
 
-/** Answers bytes that are not HTTP, or heads that are too long or too slow, and closes only that connection. */
+/** Responds to malformed HTTP and to headers that are too large or too slow, and closes the connection. */
 function rejectMalformed(error: Error & {code?: string}, socket: Socket): void {
 	if (error.code === 'ECONNRESET' || !socket.writable) {
 		socket.destroy();
--- a/src/serving/metrics.ts
+++ b/src/serving/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Counters and latency histograms of the serving core.
+ * Metrics of request serving.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 	readonly active: Gauge;
 };
 
-/** From a plain read to the longest stream, milliseconds. */
+/** Histogram buckets, milliseconds: from a simple read to the longest stream. */
 const BUCKETS_MS = [10, 25, 50, 100, 200, 300, 400, 500, 600, 800, 1000, 1500, 2500, 5000];
 
 /**
--- a/src/serving/placement.ts
+++ b/src/serving/placement.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the placing host where streamed requests run, and decides here when it does not answer.
+ * Requests placements of streamed requests from a scheduler host, and falls back to a local scheduler without one.
  *
  * @module
  */
@@ -10,24 +10,28 @@
 	MILESTONES, type MilestoneName, type Scheduler, type PlacementDecision, type PlacementRequest,
 } from '../routing/scheduler.js';
 
-/** The hosts that place, and the way to them. */
+/** The hosts that run a scheduler, and a transport to them. */
 export interface SchedulerHosts {
-	/** Hosts that can be asked now. */
+	/** Lists the hosts that are connected. */
 	listLive(): string[];
-	/** Sends to one of them; false if it is out of reach. */
+	/** Sends a message to a host; returns false if it is unreachable. */
 	send(host: string, message: Message): boolean;
 }
 
 export type PlacementResult = {
 	readonly decision: PlacementDecision;
-	/** Host that decided; 'self' if it was this one. */
+	/** Host that decided; 'self' for this one. */
 	readonly by: string;
 };
 
-/** A placing host answers within two milliseconds; one that takes this long is busy, frozen or cut off. */
+/**
+ * Timeout of a query. Scheduler hosts respond within two milliseconds; one that takes this long is overloaded, hung or
+ * disconnected.
+ */
 export const SCHEDULER_TIMEOUT_MS = 60;
-/** How long a host that did not answer is not asked again. */
+/** How long a host that did not respond is not queried again, milliseconds. */
 const HOST_BACKOFF_MS = 700;
+/** Stands for this host where a scheduler host is named. */
 export const SELF = 'self';
 
 type PendingQuery = {
@@ -35,7 +39,7 @@
 	readonly settle: (decision: PlacementDecision | undefined) => void;
 };
 
-/** The asking side. */
+/** Client of the scheduler hosts. */
 export class PlacementClient {
 	readonly #hosts: SchedulerHosts;
 	readonly #localScheduler: Scheduler;
@@ -51,11 +55,11 @@
 		this.#clock = clock;
 	}
 
-	/** Asks where a request runs. */
+	/** Requests a placement. */
 	async place(request: PlacementRequest): Promise<PlacementResult> {
 		const [host] = this.#rankHosts(request.service);
 		if (host !== undefined) {
-			const decision = await this.#ask(host, request.id, {
+			const decision = await this.#query(host, request.id, {
 				...request, type: 'offer', parts: [...request.parts], excluded: [...request.excluded],
 			});
 			if (decision) {
@@ -68,11 +72,11 @@
 		return {decision: this.#localScheduler.place(request, this.#clock.monotonicMs()), by: SELF};
 	}
 
-	/** Tells that a prompt is read and asks where to go on. */
+	/** Reports that the reader has completed the prefill, and requests a runner. */
 	async chooseRunner(request: PlacementRequest, reader: string): Promise<PlacementResult> {
 		const host = this.#schedulerHosts.get(request.id);
 		if (host !== undefined && host !== SELF) {
-			const decision = await this.#ask(host, request.id, {
+			const decision = await this.#query(host, request.id, {
 				type: 'milestone', id: request.id, stage: MILESTONES.read, server: reader,
 			});
 			if (decision) {
@@ -85,7 +89,10 @@
 		return {decision: this.#localScheduler.chooseRunner(request, reader, this.#clock.monotonicMs()), by: SELF};
 	}
 
-	/** Tells the host that would place next where a request runs, so that it knows what engines hold. */
+	/**
+	 * Sends a placement to the host that is next in rank, so that it knows the engines' caches and load if it takes
+	 * over.
+	 */
 	notifyBackup({id, service, parts, promptTokens, outputTokens, patienceMs}: PlacementRequest, reader: string | undefined, runner: string): void {
 		const backup = this.#rankHosts(service).find(host => host !== this.#schedulerHosts.get(id));
 		if (backup === undefined) {
@@ -98,7 +105,7 @@
 		});
 	}
 
-	/** Tells how far a request is. */
+	/** Reports the progress of a request to the host that placed it, and its end also to the backup host. */
 	reportMilestone(id: string, milestone: Exclude<MilestoneName, 'read'>, server: string | undefined): void {
 		const host = this.#schedulerHosts.get(id);
 		const backup = this.#backupHosts.get(id);
@@ -120,7 +127,7 @@
 		});
 	}
 
-	/** Takes a placing host's answer. */
+	/** Handles a scheduler host's response. */
 	receive(message: Message, host: string): void {
 		if (message.type !== 'assignment' && message.type !== 'rejection') {
 			return;
@@ -132,7 +139,7 @@
 		}
 	}
 
-	async #ask(host: string, id: string, message: Message): Promise<PlacementDecision | undefined> {
+	async #query(host: string, id: string, message: Message): Promise<PlacementDecision | undefined> {
 		return new Promise(resolve => {
 			const timer = setTimeout(() => {
 				this.#avoidedUntilMs.set(host, this.#clock.monotonicMs() + HOST_BACKOFF_MS);
@@ -151,7 +158,10 @@
 		});
 	}
 
-	/** Hosts to ask, best first; all that see the same placing hosts rank them alike (rendezvous hashing). */
+	/**
+	 * Ranks the scheduler hosts by rendezvous hashing: all entry hosts that see the same scheduler hosts rank them
+	 * alike.
+	 */
 	#rankHosts(service: string): string[] {
 		const nowMs = this.#clock.monotonicMs();
 		return this.#hosts.listLive()
--- a/src/serving/plaincall.ts
+++ b/src/serving/plaincall.ts
@@ -1,5 +1,6 @@
 /**
- * A request to a plain service: one answer, read whole before it goes on to the caller.
+ * A request to a plain service. The response is buffered completely before it is forwarded, so that a failed attempt can
+ * be retried.
  *
  * @module
  */
@@ -14,28 +15,28 @@
 import type {Exchange} from './upstream.js';
 
 type Outcome
-	= | {readonly type: 'answer'; readonly head: ResponseHead; readonly body: Buffer}
-		/** The server says that it did not run the request. */
-		| {readonly type: 'notRun'; readonly isWrongServer: boolean}
-		/** No byte left for the server. */
+	= | {readonly type: 'response'; readonly head: ResponseHead; readonly body: Buffer}
+		/** The server states that it did not execute the request. */
+		| {readonly type: 'notExecuted'; readonly isWrongServer: boolean}
+		/** No byte was sent to the server. */
 		| {readonly type: 'unsent'}
-		/** It may have run; no whole answer came. */
+		/** The server may have executed the request, but sent no complete response. */
 		| {readonly type: 'broken'}
-		/** Given up on for being silent, though it may have run. */
-		| {readonly type: 'silent'};
+		/** The server did not respond in time; it may have executed the request. */
+		| {readonly type: 'timedOut'};
 
-/** Backend servers that a request is tried at without a byte having left. */
+/** Maximum number of attempts in which no byte was sent to a server. */
 const MAX_UNSENT_ATTEMPTS = 3;
-/** A repeatable request is tried elsewhere after this multiple of its objective without an answer. */
-const SILENCE_FACTOR = 2.5;
-/** How long callers wait after all servers had refused. */
+/** A repeatable request is retried at another server after this multiple of its objective without a response. */
+const RESPONSE_TIMEOUT_FACTOR = 2.5;
+/** Retry time for callers after all servers have refused, seconds. */
 const FULL_RETRY_SECONDS = 0.3;
 
-/** Runs one call to its end. */
+/** Runs one request, with retries, to its end. */
 export class PlainCall {
 	readonly #context: ServingContext;
 	readonly #call: Call;
-	readonly #tried = new Set<string>();
+	readonly #triedServers = new Set<string>();
 	#sentCount = 0;
 	#unsentCount = 0;
 	#mayHaveRun = false;
@@ -66,10 +67,10 @@
 		}
 	}
 
-	/** Delivers an answer, or a failure that must not be repeated; false to try again. */
+	/** Ends the call with a response or a failure that must not be retried; returns false to retry. */
 	#handleOutcome(outcome: Outcome): boolean {
-		const isGood = outcome.type === 'answer' && !isServerError(outcome.head);
-		if (!isGood && this.#mayRetry(outcome)) {
+		const isSuccess = outcome.type === 'response' && !isServerError(outcome.head);
+		if (!isSuccess && this.#mayRetry(outcome)) {
 			return false;
 		}
 
@@ -77,18 +78,18 @@
 		return true;
 	}
 
-	#deliver(head: ResponseHead, body: Buffer): void {
+	#respond(head: ResponseHead, body: Buffer): void {
 		this.#call.caller.respond(head.status, this.#context.protocol.buildResponseHeaders(head.headers), body, head.framing);
 	}
 
 	#mayRetry(outcome: Outcome): boolean {
 		const {route} = this.#call;
-		if (outcome.type === 'unsent' || (outcome.type === 'notRun' && outcome.isWrongServer)) {
+		if (outcome.type === 'unsent' || (outcome.type === 'notExecuted' && outcome.isWrongServer)) {
 			this.#unsentCount++;
 			return this.#unsentCount < MAX_UNSENT_ATTEMPTS && !this.#isPastDeadline();
 		}
 
-		const isSafe = outcome.type === 'notRun' ? !this.#mayHaveRun : route.kind === ROUTE_KINDS.repeatable;
+		const isSafe = outcome.type === 'notExecuted' ? !this.#mayHaveRun : route.kind === ROUTE_KINDS.repeatable;
 		return isSafe && this.#sentCount < route.maxAttempts && !this.#isPastDeadline() && this.#hasOtherServer() && tryAcquireRetry(this.#context, this.#call.service);
 	}
 
@@ -100,11 +101,14 @@
 		return this.#selectServer() !== undefined;
 	}
 
-	/** Ends the call with the last outcome: a whole answer as it is, otherwise what is true about it. */
+	/**
+	 * Ends the call with the last outcome: a complete response is forwarded, otherwise the caller learns whether the
+	 * request may have run.
+	 */
 	#endCall(outcome: Outcome | undefined): void {
 		const {caller} = this.#call;
-		if (outcome?.type === 'answer') {
-			this.#deliver(outcome.head, outcome.body);
+		if (outcome?.type === 'response') {
+			this.#respond(outcome.head, outcome.body);
 			return;
 		}
 
@@ -113,18 +117,18 @@
 			return;
 		}
 
-		caller.fail(outcome?.type === 'notRun' ? createProblem('notStarted', undefined, FULL_RETRY_SECONDS) : createNoServerProblem(this.#call));
+		caller.fail(outcome?.type === 'notExecuted' ? createProblem('notStarted', undefined, FULL_RETRY_SECONDS) : createNoServerProblem(this.#call));
 	}
 
-	/** The server with the least work for its size; the nearer one of two alike. */
+	/** Selects the server with the lowest load for its capacity; between equals, one in this data centre. */
 	#selectServer(): Announcement | undefined {
 		const {clock, health, listServers, loadTracker, random, dataCentre} = this.#context;
 		const nowMs = clock.monotonicMs();
-		const all = listServers().filter(server => server.services?.includes(this.#call.service) && !this.#tried.has(server.server));
-		const trusted = all.filter(server => !health.isSuspected(server.server, nowMs));
+		const all = listServers().filter(server => server.services?.includes(this.#call.service) && !this.#triedServers.has(server.server));
+		const healthy = all.filter(server => !health.isSuspected(server.server, nowMs));
 		let chosen: Announcement | undefined;
 		let lowest = Number.POSITIVE_INFINITY;
-		for (const server of trusted.length > 0 ? trusted : all) {
+		for (const server of healthy.length > 0 ? healthy : all) {
 			const load = loadTracker.estimate(server.server).requests / (server.capacity ?? 1);
 			const score = load + (server.dataCentre === dataCentre ? 0 : LOCALITY_WEIGHT) + (random() * LOCALITY_WEIGHT);
 			if (score < lowest) {
@@ -139,8 +143,8 @@
 	async #attempt(server: Announcement): Promise<Outcome> {
 		const {loadTracker, clock} = this.#context;
 		const {head, logFields} = this.#call;
-		const attemptId = `${head.id} ${this.#tried.size}`;
-		this.#tried.add(server.server);
+		const attemptId = `${head.id} ${this.#triedServers.size}`;
+		this.#triedServers.add(server.server);
 		logFields.servers.push(server.server);
 		loadTracker.startRequest(server.server, attemptId, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
 		const outcome = await this.#awaitOutcome(server);
@@ -149,7 +153,7 @@
 			this.#sentCount++;
 		}
 
-		this.#mayHaveRun ||= outcome.type === 'broken' || outcome.type === 'silent';
+		this.#mayHaveRun ||= outcome.type === 'broken' || outcome.type === 'timedOut';
 		return outcome;
 	}
 
@@ -160,10 +164,10 @@
 				resolve(outcome);
 			};
 
-			const timer = this.#createSilenceTimer(() => {
+			const timer = this.#startResponseTimer(() => {
 				this.#context.health.recordFailure(server.server, this.#context.clock.monotonicMs());
 				this.#exchange?.cancel();
-				settle({type: 'silent'});
+				settle({type: 'timedOut'});
 			});
 			this.#call.caller.onEnd(() => {
 				settle({type: 'broken'});
@@ -183,7 +187,7 @@
 				this.#noteLoad(server, head);
 				const mismatch = findResponseMismatch(this.#call, head);
 				if (mismatch !== undefined) {
-					context.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
+					context.logger.warn(`Discarded a response from server ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
 					this.#exchange?.cancel();
 					settle({type: 'broken'});
 				}
@@ -194,8 +198,8 @@
 			onEnd() {
 				context.health.recordSuccess(server.server);
 				settle(head!.isNotExecuted || head!.isWrongServer
-					? {type: 'notRun', isWrongServer: head!.isWrongServer}
-					: {type: 'answer', head: head!, body: Buffer.concat(chunks)});
+					? {type: 'notExecuted', isWrongServer: head!.isWrongServer}
+					: {type: 'response', head: head!, body: Buffer.concat(chunks)});
 			},
 			onFailure(failure, error) {
 				recordAttemptFailure(context, server, failure, error);
@@ -213,14 +217,17 @@
 		}
 	}
 
-	#createSilenceTimer(onSilence: () => void): NodeJS.Timeout | undefined {
+	#startResponseTimer(onTimeout: () => void): NodeJS.Timeout | undefined {
 		const {route} = this.#call;
 		const mayRetryElsewhere = route.kind === ROUTE_KINDS.repeatable && this.#sentCount + 1 < route.maxAttempts;
-		return mayRetryElsewhere ? setTimeout(onSilence, route.objectiveMs * SILENCE_FACTOR) : undefined;
+		return mayRetryElsewhere ? setTimeout(onTimeout, route.objectiveMs * RESPONSE_TIMEOUT_FACTOR) : undefined;
 	}
 }
 
-/** Weight of standing in the same data centre against load; also spreads servers that look alike. */
+/**
+ * Weight of the same data centre relative to load; also the range of the random term that spreads requests over equal
+ * servers.
+ */
 const LOCALITY_WEIGHT = 0.02;
 
 function isServerError({status}: ResponseHead): boolean {
--- a/src/serving/protocol.ts
+++ b/src/serving/protocol.ts
@@ -1,5 +1,5 @@
 /**
- * What the serving core needs to know of a request and an answer, whatever names they bear on the wire.
+ * The parts of requests and responses that request serving depends on, independent of their format on the wire.
  *
  * @module
  */
@@ -11,78 +11,80 @@
 import type {Address} from '../wire/connection.js';
 import type {Framing} from './caller.js';
 
-/** A prompt for an engine, by its named parts. */
+/** A prompt for an engine. */
 export type Prompt = {
 	readonly model: string;
 	readonly promptTokens: number;
-	/** Most tokens of the answer. */
+	/** Maximum number of output tokens. */
 	readonly outputTokens: number;
-	/** In order; the last one belongs to the request itself. */
+	/** Named parts in order; the last one is not shared with other requests. */
 	readonly parts: readonly PromptPart[];
 };
 
-/** The head of a caller's request. */
+/** What the headers of a caller's request contain. */
 export type RequestHead = {
-	/** The caller's name for this try. */
+	/** Request ID that the caller assigned to this attempt. */
 	readonly id: string;
-	/** How long the caller will wait, milliseconds. */
+	/** How long the caller will wait, milliseconds; undefined if it sets no deadline. */
 	readonly timeoutMs: number | undefined;
 	readonly prompt: Prompt | undefined;
-	/** Last event of a stream that the caller wants to go on with. */
+	/** ID of the last event that the caller received of a stream that it resumes. */
 	readonly lastEventId: string | undefined;
 };
 
-/** A prompt's KV cache that an engine holds. */
+/** Reference to the KV cache of a prefilled prompt at an engine. */
 export type KvCacheHandle = {
 	readonly address: Address;
 	readonly handle: string;
 };
 
 export const ATTEMPT_PHASES = {full: 'full', prefill: 'prefill', decode: 'decode'} as const;
-/** What is asked of an engine: everything, only to read the prompt, or to go on from a read prompt. */
+/** What an attempt asks of an engine: prefill and decoding, prefill only, or decoding from a transferred KV cache. */
 export type AttemptPhase = keyof typeof ATTEMPT_PHASES;
 
-/** One sending of a request to one server. */
+/** One attempt of a request at one server. */
 export type Attempt = {
 	readonly phase: AttemptPhase;
 	readonly deadlineMs: number;
-	/** The server that must answer; any other one refuses. */
+	/** The server that must respond; another server at the same address refuses the request. */
 	readonly server: string;
+	/** KV cache from which to decode. */
 	readonly kvCache?: KvCacheHandle;
-	/** A server that holds shared parts of the prompt. */
+	/** Address of a server from which to fetch the KV cache of shared prompt parts. */
 	readonly kvSource?: Address;
 	readonly lastEventId?: string;
 	/** 0 is the most urgent. */
 	readonly priority?: number;
 };
 
-/** The head of a server's answer. */
+/** Status and headers of a server's response. */
 export type ResponseHead = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
-	/** How the answer's end is marked. */
+	/** How the end of the response is marked. */
 	readonly framing: Framing;
-	/** The request that the server answers. */
+	/** ID of the request to which the server responds. */
 	readonly echoedId: string | undefined;
-	/** The server states that it did not run the request. */
+	/** Whether the server states that it did not execute the request. */
 	readonly isNotExecuted: boolean;
-	/** Another server answered from that address. */
+	/** Whether another server than the expected one responded. */
 	readonly isWrongServer: boolean;
+	/** Load that the server reports. */
 	readonly load: {readonly running: number; readonly waiting: number; readonly slots: number} | undefined;
 };
 
-/** How requests and answers are written on the wire. */
+/** Parses and builds requests and responses in the platform's format. */
 export interface ProtocolAdapter {
 	parseRequest(request: IncomingMessage): Either<Problem, RequestHead>;
-	/** Headers of a request to a server, as alternating names and values. */
+	/** Builds the headers of a request to a server, as alternating names and values. */
 	buildRequestHeaders(request: IncomingMessage, attempt: Attempt): string[];
 	parseResponse(status: number, headers: IncomingHttpHeaders): ResponseHead;
-	/** Headers of a server's answer that go on to the caller. */
+	/** Builds the headers of the response to the caller from those of the server's response. */
 	buildResponseHeaders(headers: IncomingHttpHeaders): OutgoingHttpHeaders;
-	/** The handle in an answer to a reading; undefined if there is none. */
+	/** Parses the KV cache handle in the response to a prefill; undefined if there is none. */
 	parseKvHandle(body: Uint8Array): string | undefined;
-	/** The request that frees a reading nobody will take. */
+	/** Builds the request that releases a KV cache that is not needed any more. */
 	buildReleaseRequest(kvCache: KvCacheHandle): {readonly method: string; readonly path: string};
-	/** The publication as operators wrote it. */
+	/** Parses a routing configuration as published by operators. */
 	parseRoutingConfig(text: string): Either<Problem, RoutingConfig>;
 }
--- a/src/serving/streamcall.ts
+++ b/src/serving/streamcall.ts
@@ -1,5 +1,6 @@
 /**
- * A streamed request: placed, its prompt read where that is quickest, and its events passed on as they come.
+ * A streamed request. It is placed by a scheduler, prefilled and decoded at one engine or two, and its events are
+ * forwarded as they arrive.
  *
  * @module
  */
@@ -17,30 +18,30 @@
 import type {Exchange} from './upstream.js';
 
 type PrefillOutcome
-	= | {readonly type: 'read'; readonly kvCache: KvCacheHandle}
+	= | {readonly type: 'prefilled'; readonly kvCache: KvCacheHandle}
 		| {readonly type: 'failed'};
 
 type RunOutcome
 	= | {readonly type: 'done'; readonly isServerError: boolean}
-		| {readonly type: 'notRun'}
+		| {readonly type: 'notExecuted'}
 		| {readonly type: 'unsent'}
 		| {readonly type: 'broken'}
-		/** Not sent: the budget of repeats is used up. */
-		| {readonly type: 'denied'};
+		/** Not sent because the retry budget is exhausted. */
+		| {readonly type: 'retryDenied'};
 
-/** Callers give a stream up after two seconds, or four times its objective, without an event. */
+/** Callers abandon a stream after two seconds without an event, or four times its objective if that is longer. */
 const MIN_PATIENCE_MS = 2000;
 const PATIENCE_FACTOR = 4;
-/** Placings of one request before it is given up. */
+/** Maximum number of placements of one request. */
 const MAX_PLACEMENTS = 4;
-/** A reader that needs this multiple of what was expected is given up, but not before this time, milliseconds. */
+/** A prefill times out after this multiple of the expected time, but not before `MIN_PREFILL_TIMEOUT_MS`. */
 const PREFILL_TIMEOUT_FACTOR = 3;
 const MIN_PREFILL_TIMEOUT_MS = 700;
 const FAILED_RETRY_SECONDS = 0.5;
 const HTTP_OK = 200;
 const HTTP_SERVER_ERROR = 500;
 
-/** Runs one call to its end. */
+/** Runs one request, with retries, to its end. */
 export class StreamCall {
 	readonly #context: ServingContext;
 	readonly #call: Call;
@@ -86,7 +87,7 @@
 			}
 
 			this.#mayHaveRun ||= outcome.type === 'broken';
-			this.#context.placement.reportMilestone(this.#call.head.id, outcome.type === 'notRun' ? 'refused' : 'failed', runner.server);
+			this.#context.placement.reportMilestone(this.#call.head.id, outcome.type === 'notExecuted' ? 'refused' : 'failed', runner.server);
 			this.#excluded.add(runner.server);
 			const problem = this.#findFinalProblem(outcome);
 			if (problem) {
@@ -98,7 +99,10 @@
 		this.#context.placement.reportMilestone(this.#call.head.id, 'failed', undefined);
 	}
 
-	/** Finds the engine that runs the request, with its prompt read ahead where that is quicker. */
+	/**
+	 * Places the request and prefills it at the reader, if there is one; returns the runner, or undefined if the call
+	 * has ended.
+	 */
 	async #place(): Promise<Announcement | undefined> {
 		const {caller, logFields} = this.#call;
 		while (!caller.isEnded) {
@@ -126,7 +130,7 @@
 					return undefined;
 				}
 
-				if (outcome?.type !== 'read') {
+				if (outcome?.type !== 'prefilled') {
 					this.#context.placement.reportMilestone(this.#call.head.id, 'failed', decision.reader);
 					this.#excluded.add(decision.reader);
 					continue;
@@ -173,7 +177,7 @@
 		};
 	}
 
-	/** Has the prompt read ahead of the run. */
+	/** Prefills the prompt at a reader. */
 	async #prefillAt(server: Announcement, expectedMs: number): Promise<PrefillOutcome> {
 		const context = this.#context;
 		if (this.#prefillCount > 0 && !tryAcquireRetry(this.#context, this.#call.service)) {
@@ -185,9 +189,9 @@
 		return new Promise(resolve => {
 			const chunks: Buffer[] = [];
 			let head: ResponseHead | undefined;
-			// Reading may be repeated, so a reader that is long overdue is given up.
+			// A prefill is safe to retry, so a reader that is long overdue is abandoned.
 			const timer = setTimeout(() => {
-				context.logger.warn(`Server ${server.server} is overdue with a prompt.`, {request: this.#call.head.id, server: server.server, expectedMs});
+				context.logger.warn(`Prefill timed out at server ${server.server}.`, {request: this.#call.head.id, server: server.server, expectedMs});
 				this.#exchange?.cancel();
 				resolve({type: 'failed'});
 			}, Math.max(MIN_PREFILL_TIMEOUT_MS, expectedMs * PREFILL_TIMEOUT_FACTOR));
@@ -202,7 +206,7 @@
 					head = context.protocol.parseResponse(status, headers);
 					const mismatch = findResponseMismatch(this.#call, head);
 					if (mismatch !== undefined) {
-						context.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
+						context.logger.warn(`Discarded a response from server ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
 						this.#exchange?.cancel();
 						resolve({type: 'failed'});
 					}
@@ -214,13 +218,13 @@
 					clearTimeout(timer);
 					const handle = head?.status === 200 ? context.protocol.parseKvHandle(Buffer.concat(chunks)) : undefined;
 					if (handle === undefined) {
-						context.logger.warn(`Server ${server.server} did not read a prompt.`, {server: server.server, status: head?.status});
+						context.logger.warn(`Prefill failed at server ${server.server}: no KV cache handle in the response.`, {server: server.server, status: head?.status});
 						resolve({type: 'failed'});
 						return;
 					}
 
 					context.health.recordSuccess(server.server);
-					resolve({type: 'read', kvCache: {address: {address: server.address, port: server.port}, handle}});
+					resolve({type: 'prefilled', kvCache: {address: {address: server.address, port: server.port}, handle}});
 				},
 				onFailure(failure, error) {
 					clearTimeout(timer);
@@ -235,7 +239,7 @@
 		const context = this.#context;
 		const {caller, logFields} = this.#call;
 		if (this.#runCount > 0 && !tryAcquireRetry(this.#context, this.#call.service)) {
-			return {type: 'denied'};
+			return {type: 'retryDenied'};
 		}
 
 		this.#runCount++;
@@ -262,7 +266,7 @@
 					head = context.protocol.parseResponse(status, headers);
 					const mismatch = findResponseMismatch(this.#call, head);
 					if (mismatch !== undefined) {
-						context.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
+						context.logger.warn(`Discarded a response from server ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
 						this.#exchange?.cancel();
 						resolve({type: 'broken'});
 						return;
@@ -292,7 +296,7 @@
 				},
 				onEnd: () => {
 					if (!head || head.isNotExecuted || head.isWrongServer) {
-						resolve({type: 'notRun'});
+						resolve({type: 'notExecuted'});
 						return;
 					}
 
@@ -331,7 +335,7 @@
 		}
 	}
 
-	/** The problem to end with after a run that failed; undefined to try again. */
+	/** Finds the problem to report after a failed run; undefined to retry. */
 	#findFinalProblem(outcome: RunOutcome): Problem | undefined {
 		const {route} = this.#call;
 		switch (outcome.type) {
@@ -340,11 +344,11 @@
 				return undefined;
 			}
 
-			case 'notRun': {
+			case 'notExecuted': {
 				return this.#runCount <= route.maxAttempts ? undefined : this.#createFailureProblem();
 			}
 
-			case 'denied': {
+			case 'retryDenied': {
 				return this.#createFailureProblem();
 			}
 
@@ -354,18 +358,18 @@
 		}
 	}
 
-	/** Whether a run that failed may go on at another engine. */
+	/** Whether another engine may resume after a failed run. */
 	#mayResume(): boolean {
 		const {route} = this.#call;
 		return route.isResumable && this.#runCount < route.maxAttempts;
 	}
 
-	/** What the caller is told: that nothing ran, if that is sure. */
+	/** Creates the problem to report: that the request was not started, if no engine may have run it. */
 	#createFailureProblem(): Problem {
 		return this.#mayHaveRun ? createProblem('serverFailed') : createProblem('notStarted', undefined, FAILED_RETRY_SECONDS);
 	}
 
-	/** Frees a read prompt that nobody will take. */
+	/** Releases a prefilled KV cache that no engine will decode from. */
 	#releaseKvCache(): void {
 		const kvCache = this.#kvCache;
 		this.#kvCache = undefined;
@@ -378,12 +382,12 @@
 			address: kvCache.address, ...this.#context.protocol.buildReleaseRequest(kvCache), headers: [], body: null, maxConnections: 1,
 		}, {
 			onHead: ignore, onData: ignore, onEnd: ignore, onFailure: (failure, error) => {
-				this.#context.logger.warn(`Could not free a read prompt: ${error.message}`, {failure});
+				this.#context.logger.warn(`Could not release a KV cache: ${error.message}`, {failure});
 			},
 		});
 	}
 
-	/** What is late already goes behind everything else. */
+	/** Late requests are served after all others. */
 	#priority(): number {
 		return this.#call.logFields.isLate === true ? LATE_PRIORITY : this.#call.route.priority;
 	}
--- a/src/serving/upstream.ts
+++ b/src/serving/upstream.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to backend servers, and one exchange on one of them.
+ * HTTP client for backend servers: connection pools, and exchanges of one request and its response.
  *
  * @module
  */
@@ -16,19 +16,23 @@
 	/** Alternating names and values. */
 	readonly headers: string[];
 	readonly body: Buffer | null;
-	/** Connections that may be open to this server from here. */
+	/** Maximum number of connections from this host to the server. */
 	readonly maxConnections: number;
 };
 
+/** How far an exchange came before it failed. */
 export const ATTEMPT_FAILURES = {
-	/** No byte of the request left. */
+	/** No byte of the request was sent. */
 	unsent: 'unsent',
-	/** The request may have reached the server; no whole answer came. */
+	/** The request may have reached the server; no complete response was received. */
 	broken: 'broken',
 } as const;
 export type AttemptFailure = keyof typeof ATTEMPT_FAILURES;
 
-/** What becomes of one exchange; exactly one of `onEnd` and `onFailure` is called, unless it is cancelled. */
+/**
+ * Receives the events of one exchange. Exactly one of `onEnd` and `onFailure` is called, unless the exchange is
+ * cancelled.
+ */
 export interface ResponseHandler {
 	onHead(status: number, headers: IncomingHttpHeaders): void;
 	onData(chunk: Buffer): void;
@@ -37,29 +41,32 @@
 }
 
 export type Exchange = {
-	/** Ends the exchange and its connection; the sink hears nothing more. */
+	/** Aborts the exchange and closes its connection; the handler is not called any more. */
 	cancel(): void;
-	/** Stops and goes on with reading the answer. */
+	/** Stops reading the response, for backpressure. */
 	pause(): void;
+	/** Continues reading the response. */
 	resume(): void;
+	/** Whether a connection has started to send the request. */
 	readonly isSent: boolean;
 };
 
-/** A server that does not take a connection within this time is not reached. */
+/** A server that does not accept a connection within this time counts as unreachable. */
 export const CONNECT_TIMEOUT_MS = 600;
-/** Idle connections are given up before the servers of either user do. */
+/** Idle connections are closed after this time, which is shorter than the idle timeout of either user's servers. */
 const IDLE_MS = 4000;
+/** Upper bound of the idle timeout that a server may announce. */
 const MAX_IDLE_MS = 30_000;
-/** Margin between a server's announced idle time and ours. */
+/** How much earlier than a server's announced idle timeout its connections are closed. */
 const IDLE_MARGIN_MS = 1000;
-/** Largest head of an answer, bytes. */
+/** Maximum size of a response's headers, bytes. */
 const MAX_HEAD_BYTES = 32_768;
 
-/** The connections of one host to all backend servers. Whoever created it closes it. */
+/** The connection pools of one host to all backend servers. Must be closed by its creator. */
 export class Upstream {
 	readonly #pools = new Map<string, Pool>();
 
-	/** Sends a request and reports what comes back. */
+	/** Sends a request; the response is passed to the handler. */
 	send(request: UpstreamRequest, responseHandler: ResponseHandler): Exchange {
 		const exchange = new UpstreamExchange(responseHandler);
 		const options: TrackedDispatchOptions = {
@@ -76,7 +83,7 @@
 		return exchange;
 	}
 
-	/** Closes the connections to a server that is gone. */
+	/** Closes the connections to a server that no longer exists. */
 	closeServer({address, port}: Address): void {
 		const key = `${address}:${port}`;
 		const pool = this.#pools.get(key);
@@ -116,13 +123,13 @@
 }
 
 type TrackedDispatchOptions = Dispatcher.DispatchOptions & {
-	/** Called with the line that takes the request. */
+	/** Called with the connection on which the request is sent. */
 	readonly onConnection: (connection: TrackedConnection) => void;
 };
 
 /**
- * One connection to a server. It knows whether the connection was reset, which the library does not tell: an answer
- * without a length that is cut off by a reset would look whole.
+ * A connection to a server that records whether it was reset. The library does not report this, and a response without
+ * a content length that is cut off by a reset would look complete.
  */
 class TrackedConnection extends Client {
 	#isReset = false;
@@ -149,7 +156,7 @@
 		this.#isReset = false;
 		const socket = net.connect({host: hostname, port: Number(port), noDelay: true});
 		const timer = setTimeout(() => {
-			socket.destroy(new Error('No connection in time.'));
+			socket.destroy(new Error('Connecting to the server timed out.'));
 		}, CONNECT_TIMEOUT_MS);
 		const fail = (error: Error) => {
 			clearTimeout(timer);
@@ -194,7 +201,7 @@
 			},
 			onResponseEnd: () => {
 				if (this.connection?.isReset) {
-					this.#fail(new Error('The connection was reset before the answer ended.'));
+					this.#fail(new Error('The connection was reset before the response was complete.'));
 				} else if (this.#end()) {
 					responseHandler.onEnd();
 				}
@@ -209,18 +216,18 @@
 		return this.#controller !== undefined;
 	}
 
-	/** Gives up if no connection takes the request in time. */
+	/** Starts the timeout within which a connection must accept the request. */
 	startSendTimeout(): void {
 		if (!this.#controller && !this.#isEnded) {
 			this.#timer = setTimeout(() => {
-				this.#fail(new Error('No connection took the request in time.'));
+				this.#fail(new Error('No connection to the server became available in time.'));
 			}, CONNECT_TIMEOUT_MS);
 		}
 	}
 
 	cancel(): void {
 		if (this.#end()) {
-			this.#controller?.abort(new Error('Cancelled.'));
+			this.#controller?.abort(new Error('The exchange was cancelled.'));
 		}
 	}
 
@@ -235,7 +242,7 @@
 	#start(controller: Dispatcher.DispatchController): void {
 		clearTimeout(this.#timer);
 		if (this.#isEnded) {
-			controller.abort(new Error('Cancelled before it was sent.'));
+			controller.abort(new Error('The exchange was cancelled before the request was sent.'));
 			return;
 		}
 
