--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -6,37 +6,37 @@
 const LIMITS = {ratio: 0.2, allowance: 113, windowMs: 10_000};
 const HOSTS = 13;
 
-test('all hosts together stay within the budget in every sliding window', () => {
+test('the retries of all hosts stay within the budget in every sliding window', () => {
 	const random = createRandom(5);
 	const hosts = Array.from({length: HOSTS}, () => new ServiceRetryBudget(LIMITS));
 	const requests: number[] = [];
-	const repeats: number[] = [];
+	const retries: number[] = [];
 	for (const host of hosts) {
 		host.setHostCount(HOSTS);
 	}
 
 	for (let nowMs = 0; nowMs < 40_000; nowMs += 10) {
 		const host = hosts[Math.floor(random() * HOSTS)]!;
-		// Load that comes and goes, every request wants two repeats.
+		// The load alternates between high and low; every request asks for two retries.
 		if (random() < (nowMs % 15_000 < 5000 ? 0.8 : 0.1)) {
 			host.recordRequest('svc', nowMs);
 			requests.push(nowMs);
 			for (let attempt = 0; attempt < 2; attempt++) {
 				if (host.tryAcquire('svc', nowMs)) {
-					repeats.push(nowMs);
+					retries.push(nowMs);
 				}
 			}
 		}
 	}
 
-	assert.ok(repeats.length > 0);
+	assert.ok(retries.length > 0);
 	for (let endMs = 0; endMs <= 40_000; endMs += 100) {
 		const count = (times: number[]) => times.filter(atMs => atMs > endMs - LIMITS.windowMs && atMs <= endMs).length;
-		assert.ok(count(repeats) <= (count(requests) * LIMITS.ratio) + LIMITS.allowance, `window that ends at ${endMs} ms`);
+		assert.ok(count(retries) <= (count(requests) * LIMITS.ratio) + LIMITS.allowance, `window that ends at ${endMs} ms`);
 	}
 });
 
-test('services have budgets of their own', () => {
+test('each service has its own budget', () => {
 	const budget = new ServiceRetryBudget({ratio: 0, allowance: 2, windowMs: 1000});
 	assert.equal(budget.tryAcquire('a', 0), true);
 	assert.equal(budget.tryAcquire('a', 1), false);
@@ -44,7 +44,7 @@
 	assert.equal(budget.tryAcquire('a', 1001), true);
 });
 
-test('new limits hold at once and for what was counted before', () => {
+test('new limits apply immediately and to retries that were counted before', () => {
 	const budget = new ServiceRetryBudget({ratio: 0, allowance: 8, windowMs: 1000});
 	assert.equal(budget.tryAcquire('a', 0), true);
 	assert.equal(budget.tryAcquire('a', 1), true);
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -8,28 +8,28 @@
 	id: 'r1', service: 'llm', dataCentre: 'x', parts: [], promptTokens: 1000, outputTokens: 10, priority: 0, objectiveMs: 600, patienceMs: 2400, excluded: [],
 };
 
-test('all hosts ask the same placing host, and tell the next one where the request runs', async () => {
-	const asked = new Set<string>();
-	const told = new Set<string>();
+test('all entry hosts query the same scheduler host and copy the placement to the same backup host', async () => {
+	const schedulers = new Set<string>();
+	const backups = new Set<string>();
 	for (const live of [['c1', 'c2', 'c3'], ['c3', 'c1', 'c2']]) {
-		const {client, sent} = createClient({live, answers: true});
+		const {client, sent} = createClient({live, responds: true});
 		const {by} = await client.place(REQUEST);
-		asked.add(by);
+		schedulers.add(by);
 		client.notifyBackup(REQUEST, 'e1', 'e2');
 		client.reportMilestone('r1', 'done', undefined);
 		const shadow = sent.find(({message}) => message.type === 'shadow');
-		told.add(shadow?.host ?? '');
+		backups.add(shadow?.host ?? '');
 		const ended = new Set(sent.filter(({message}) => message.type === 'milestone').map(({host}) => host));
 		assert.deepEqual(ended, new Set([by, shadow?.host]));
 	}
 
-	assert.equal(asked.size, 1);
-	assert.equal(told.size, 1);
-	assert.notDeepEqual(asked, told);
+	assert.equal(schedulers.size, 1);
+	assert.equal(backups.size, 1);
+	assert.notDeepEqual(schedulers, backups);
 });
 
-test('without an answer the host decides by itself and asks another one next time', async () => {
-	const {client, sent} = createClient({live: ['c1', 'c2'], answers: false});
+test('without a response the local scheduler decides, and the next query goes to another host', async () => {
+	const {client, sent} = createClient({live: ['c1', 'c2'], responds: false});
 	const first = await client.place(REQUEST);
 	const second = await client.place({...REQUEST, id: 'r2'});
 	assert.deepEqual([first.by, second.by], [SELF, SELF]);
@@ -37,37 +37,37 @@
 	assert.notEqual(sent[0]?.host, sent[1]?.host);
 });
 
-test('without placing hosts the host decides by itself at once', async () => {
-	const {client, sent} = createClient({live: [], answers: false});
+test('without scheduler hosts the local scheduler decides immediately', async () => {
+	const {client, sent} = createClient({live: [], responds: false});
 	assert.equal((await client.place(REQUEST)).by, SELF);
 	assert.equal((await client.chooseRunner(REQUEST, 'e1')).decision.type, 'assignment');
 	assert.deepEqual(sent, []);
 });
 
-test('a late answer to an earlier question is not taken for one to a later one', async () => {
-	const {client} = createClient({live: ['c1'], answers: false});
+test('a late response to an earlier query is not used for a later query with the same ID', async () => {
+	const {client} = createClient({live: ['c1'], responds: false});
 	await client.place(REQUEST);
 	client.receive({type: 'assignment', id: 'r1', runner: 'ghost'}, 'c1');
 	const {decision} = await client.place({...REQUEST, id: 'r1'});
 	assert.equal(decision.type === 'assignment' && decision.runner, 'e1');
 });
 
-function createClient({live, answers}: {live: string[]; answers: boolean}) {
+function createClient({live, responds}: {live: string[]; responds: boolean}) {
 	const sent: Array<{host: string; message: Message}> = [];
-	const local = new Scheduler();
-	local.updateEngines([{
+	const localScheduler = new Scheduler();
+	localScheduler.updateEngines([{
 		server: 'e1', incarnation: 1, service: 'llm', dataCentre: 'x', role: 'decode', slots: 8, kvTokens: 100_000,
 	}]);
 	const client: PlacementClient = new PlacementClient({
 		listLive: () => live,
 		send(host, message) {
 			sent.push({host, message});
-			if (answers && message.type === 'offer') {
+			if (responds && message.type === 'offer') {
 				client.receive({type: 'assignment', id: message.id, runner: 'e1'}, host);
 			}
 
 			return true;
 		},
-	}, local, {monotonicMs: () => 0, wallMs: () => 0});
+	}, localScheduler, {monotonicMs: () => 0, wallMs: () => 0});
 	return {client, sent};
 }
--- a/test/queue.test.ts
+++ b/test/queue.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {PrefillQueue} from '../src/routing/queue.js';
 
-test('a prompt waits for what was begun and for what is as urgent, not for what is less urgent', () => {
+test('a prompt waits for the running prompt and for waiting ones of at least its priority', () => {
 	const queue = new PrefillQueue();
 	queue.add('running', {workMs: 100, priority: 2}, 0);
 	queue.add('waiting', {workMs: 200, priority: 2}, 10);
@@ -11,11 +11,11 @@
 	assert.equal(queue.waitMs(1, 40), 60 + 30);
 	assert.equal(queue.waitMs(2, 40), 60 + 30 + 200);
 	assert.equal(queue.countLowerPriority(1, 40), 1);
-	// The urgent one is begun at 100 ms and keeps everything waiting for 30 ms.
+	// The urgent prompt starts at 100 ms and takes 30 ms.
 	assert.equal(queue.waitMs(0, 110), 20);
 });
 
-test('what is expected follows what is reported', () => {
+test('reported completions correct the estimates', () => {
 	const queue = new PrefillQueue();
 	queue.add('a', {workMs: 100, priority: 0}, 0);
 	queue.add('b', {workMs: 100, priority: 0}, 0);
@@ -29,7 +29,7 @@
 	assert.equal(queue.waitMs(0, 230), 0);
 });
 
-test('a prompt that is given up frees the rest of its time', () => {
+test('removing a running prompt frees the rest of its time', () => {
 	const queue = new PrefillQueue();
 	queue.add('a', {workMs: 500, priority: 0}, 0);
 	queue.add('b', {workMs: 50, priority: 0}, 0);
@@ -40,7 +40,7 @@
 	assert.equal(queue.size, 0);
 });
 
-test('a prompt that is not reported read becomes overdue', () => {
+test('a prompt whose completion is not reported becomes overdue', () => {
 	const queue = new PrefillQueue();
 	queue.add('a', {workMs: 100, priority: 0}, 0);
 	assert.equal(queue.overdueMs(100), 0);
@@ -49,11 +49,11 @@
 	assert.equal(queue.overdueMs(400), 0);
 });
 
-test('a prompt that was read before its expected turn shows that the others were not begun yet', () => {
+test('a completion that is reported earlier than expected resets the expected start of the other prompts', () => {
 	const queue = new PrefillQueue();
 	queue.add('long', {workMs: 300, priority: 2}, 0);
 	queue.add('urgent', {workMs: 20, priority: 0}, 10);
-	// The engine took the urgent one first.
+	// The engine processed the urgent prompt first.
 	queue.complete('urgent', 60);
 	assert.equal(queue.waitMs(0, 100), 260);
 	assert.equal(queue.waitMs(0, 360), 0);
--- a/test/routing.test.ts
+++ b/test/routing.test.ts
@@ -16,7 +16,7 @@
 const LONG: RequestShape = {promptTokens: 4000, outputTokens: 100, dataCentre: 'a'};
 const SHORT: RequestShape = {promptTokens: 200, outputTokens: 300, dataCentre: 'a'};
 
-test('decisions for recorded situations stay as they are', async () => {
+test('engine choices for recorded situations match the snapshot', async () => {
 	const situations = {
 		idle: [createCandidate('e1'), createCandidate('e2')],
 		oneBusy: [createCandidate('e1', {load: {requests: 40, prefillTokens: 30_000, decodeTokens: 40_000}}), createCandidate('e2')],
@@ -32,7 +32,7 @@
 	await assertSnapshot('decisions', decisions);
 });
 
-test('a long prompt goes to a prefill engine and its answer on to a decode engine', () => {
+test('a long prompt goes to a prefill engine and is continued at a decode engine', () => {
 	const candidates = [createCandidate('p1', {role: 'prefill'}), createCandidate('d1', {role: 'decode'})];
 	const placement = placeRequest(LONG, candidates, createRandom(1));
 	assert.deepEqual([placement?.first.server, placement?.handsOff], ['p1', true]);
@@ -51,7 +51,7 @@
 	assert.ok(Math.max(...counts.values()) < 400 * 0.35);
 });
 
-test('own work counts until a report can contain it', () => {
+test('requests of this host are added to the reported load until a report can include them', () => {
 	const loads = new LoadTracker(100);
 	const size = {promptTokens: 100, prefillTokens: 100, outputTokens: 10};
 	loads.startRequest('e1', 'r1', size, 1000);
@@ -68,7 +68,7 @@
 	assert.equal(loads.countInFlight('e1'), 0);
 });
 
-test('cache events correct what is believed, and a gap makes it forgotten', () => {
+test('cache events correct the prefix index, and a gap in their sequence clears it', () => {
 	const index = new PrefixIndex();
 	const hashes = hashBlocks('x'.repeat(1024));
 	index.record('e1', hashes);
@@ -82,17 +82,17 @@
 	assert.equal(index.countCached('e1', hashes), 0);
 });
 
-test('all hosts agree on the home of a prefix, and losing an engine moves only its own', () => {
+test('all hosts agree on the owner of a prefix, and losing an engine moves only the prefixes that it owned', () => {
 	const engines = ['e1', 'e2', 'e3', 'e4'];
 	for (let hash = 1; hash < 200; hash++) {
-		const home = findPrefixOwner(engines, hash)!;
-		assert.equal(findPrefixOwner(engines.toReversed(), hash), home);
+		const owner = findPrefixOwner(engines, hash)!;
+		assert.equal(findPrefixOwner(engines.toReversed(), hash), owner);
 		const rest = engines.filter(engine => engine !== 'e4');
-		assert.equal(findPrefixOwner(rest, hash), home === 'e4' ? findPrefixOwner(rest, hash) : home);
+		assert.equal(findPrefixOwner(rest, hash), owner === 'e4' ? findPrefixOwner(rest, hash) : owner);
 	}
 });
 
-test('a promise shrinks when work comes late and grows back', () => {
+test('the admission margin shrinks when requests are late and recovers', () => {
 	const margin = new AdmissionMargin();
 	for (let late = 0; late < 10; late++) {
 		margin.record(false);
@@ -110,31 +110,31 @@
 	assert.equal(margin.share, 1);
 });
 
-test('a heavy team does not starve a light one, and weights count', () => {
+test('a team with many requests does not starve other teams, whatever their weights', () => {
 	const admission = new AdmissionController();
 	const started: string[] = [];
-	const take = (events: readonly AdmissionEvent[]) => {
+	const collectStarted = (events: readonly AdmissionEvent[]) => {
 		started.push(...events.filter(event => event.type === 'start').map(({id}) => id));
 	};
 
-	const offer = (id: string, team: string, weight = 1) => admission.submit({
+	const submit = (id: string, team: string, weight = 1) => admission.submit({
 		id, team, weight, tokens: 100, teamTokenLimit: 1e9, latestStartMs: 1e9,
 	}, 100, 0);
-	take(offer('first', 'heavy'));
+	collectStarted(submit('first', 'heavy'));
 	for (let index = 0; index < 20; index++) {
-		take(offer(`heavy-${index}`, 'heavy'));
+		collectStarted(submit(`heavy-${index}`, 'heavy'));
 	}
 
-	take(offer('light', 'light'));
-	take(offer('double', 'double', 2));
+	collectStarted(submit('light', 'light'));
+	collectStarted(submit('double', 'double', 2));
 	for (let step = 0; step < 4; step++) {
-		take(admission.complete(started.at(-1)!, 100, step));
+		collectStarted(admission.complete(started.at(-1)!, 100, step));
 	}
 
 	assert.ok(started.indexOf('light') > 0 && started.indexOf('double') > 0, started.join(' '));
 });
 
-test('what cannot start before its deadline is refused at once, with the time to come back', () => {
+test('a request that cannot start before its deadline is refused at once with a retry time', () => {
 	const admission = new AdmissionController();
 	const base = {
 		team: 't', weight: 1, tokens: 1000, teamTokenLimit: 1e9,
@@ -147,7 +147,7 @@
 	assert.ok(event?.type === 'refuse' && event.retryAfterSeconds >= 1);
 });
 
-test('a team over its own limit is refused while others run', () => {
+test('a request over the limit of its team is refused although there is capacity', () => {
 	const admission = new AdmissionController();
 	const [event] = admission.submit({
 		id: 'x', team: 't', weight: 1, tokens: 500, teamTokenLimit: 100, latestStartMs: 1e9,
@@ -166,7 +166,7 @@
 	assert.ok(retries <= 105);
 });
 
-test('suspicion grows with failures and ends with a success', () => {
+test('suspicion lasts longer after each failure and ends with a success', () => {
 	const health = new HealthTracker();
 	health.recordFailure('e1', 0);
 	assert.ok(health.isSuspected('e1', 400));
@@ -177,18 +177,18 @@
 	assert.ok(!health.isSuspected('e1', 1500));
 });
 
-test('two crashes condemn a request; one makes it a suspect until it has run', () => {
+test('two crashes make a request poisoned; one makes it a suspect until it is acquitted', () => {
 	assert.equal(classifyRequest({servers: []}), 'clear');
 	assert.equal(classifyRequest({servers: ['e1#1']}), 'suspect');
 	assert.equal(classifyRequest({servers: ['e1#1', 'e2#1']}), 'poisoned');
 	assert.equal(classifyRequest({servers: ['e1#1'], acquitted: ['e1#1']}), 'clear');
-	// Acquitted, it may run beside a request that crashes its next server: that alone proves nothing.
+	// An acquitted request may run beside another one that crashes the server, so one more crash only makes it a suspect.
 	assert.equal(classifyRequest({servers: ['e1#1', 'e2#1'], acquitted: ['e1#1']}), 'suspect');
 	assert.equal(classifyRequest({servers: ['e1#1', 'e2#1', 'e3#1'], acquitted: ['e1#1']}), 'poisoned');
 	assert.equal(classifyRequest({servers: ['e1#1', 'e2#1', 'e3#1', 'e4#1'], acquitted: ['e1#1', 'e2#1', 'e3#1', 'e4#1']}), 'poisoned');
 });
 
-test('a role is changed only where the gain exceeds the cost, and not within the dwell time', () => {
+test('a role is changed only if the gain exceeds the cost, and not within the cooldown', () => {
 	const engines: RoleCandidate[] = ['prefill', 'prefill', 'decode', 'decode', 'decode', 'decode'].map((role, index) => ({
 		server: `e${index}`, role: role as RoleCandidate['role'], running: index,
 	}));
--- a/test/upstream.test.ts
+++ b/test/upstream.test.ts
@@ -6,57 +6,57 @@
 import {Upstream, type Exchange} from '../src/serving/upstream.js';
 
 type Result = {
-	readonly end: 'whole' | 'unsent' | 'broken';
+	readonly outcome: 'complete' | 'unsent' | 'broken';
 	readonly body: string;
 };
 
-test('an answer without a length that ends with its connection is whole', async t => {
+test('a response without a content length is complete when its connection ends', async t => {
 	const {ask} = await startServer(t, socket => {
 		socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nall of it');
 	});
-	assert.deepEqual(await ask(), {end: 'whole', body: 'all of it'});
+	assert.deepEqual(await ask(), {outcome: 'complete', body: 'all of it'});
 });
 
-test('an answer without a length that is reset on the way is broken', async t => {
+test('a response without a content length is broken if its connection is reset', async t => {
 	const {ask} = await startServer(t, socket => {
 		socket.write('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf', () => {
 			setTimeout(() => socket.resetAndDestroy(), 20);
 		});
 	});
-	assert.equal((await ask()).end, 'broken');
+	assert.equal((await ask()).outcome, 'broken');
 });
 
-test('an answer that ends before its length is broken', async t => {
+test('a response that is shorter than its content length is broken', async t => {
 	const {ask} = await startServer(t, socket => {
 		socket.end('HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf');
 	});
-	assert.equal((await ask()).end, 'broken');
+	assert.equal((await ask()).outcome, 'broken');
 });
 
-test('a chunked answer that ends without its last chunk is broken', async t => {
+test('a chunked response without its last chunk is broken', async t => {
 	const {ask} = await startServer(t, socket => {
 		socket.end('HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n');
 	});
-	assert.equal((await ask()).end, 'broken');
+	assert.equal((await ask()).outcome, 'broken');
 });
 
-test('bytes behind a whole answer belong to no request', async t => {
+test('bytes after a complete response are not used for the next request', async t => {
 	const {ask, countConnections} = await startServer(t, socket => {
-		const answer = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok';
-		socket.write(`${answer}${answer}`);
+		const response = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok';
+		socket.write(`${response}${response}`);
 	});
-	assert.deepEqual(await ask(), {end: 'whole', body: 'ok'});
-	assert.deepEqual(await ask(), {end: 'whole', body: 'ok'});
+	assert.deepEqual(await ask(), {outcome: 'complete', body: 'ok'});
+	assert.deepEqual(await ask(), {outcome: 'complete', body: 'ok'});
 	assert.equal(countConnections(), 2);
 });
 
-test('a connection that is refused has sent nothing', async t => {
+test('a request whose connection is refused is unsent', async t => {
 	const {ask, stop} = await startServer(t, () => undefined);
 	await stop();
-	assert.equal((await ask()).end, 'unsent');
+	assert.equal((await ask()).outcome, 'unsent');
 });
 
-test('a request that was cancelled ends its connection and hears nothing more', async t => {
+test('cancelling an exchange closes its connection and stops its events', async t => {
 	const closed = new EventEmitter();
 	const {upstream, port} = await startServer(t, socket => {
 		socket.once('close', () => closed.emit('closed'));
@@ -70,7 +70,7 @@
 });
 
 function unexpected(): void {
-	assert.fail('A cancelled exchange heard something.');
+	assert.fail('The handler of a cancelled exchange was called.');
 }
 
 type TestContext = {
@@ -113,10 +113,10 @@
 					body += chunk.toString();
 				},
 				onEnd() {
-					resolve({end: 'whole', body});
+					resolve({outcome: 'complete', body});
 				},
 				onFailure(failure) {
-					resolve({end: failure, body});
+					resolve({outcome: failure, body});
 				},
 			});
 		}),
