--- a/src/routing/engine.ts
+++ b/src/routing/engine.ts
@@ -20,13 +20,14 @@
 	readonly kvTokens: number;
 };
 
-/** What a request occupies at an engine. */
+/** Prompt and maximum output of a request. */
 export type RequestSize = {
 	readonly parts: readonly PromptPart[];
 	readonly promptTokens: number;
 	readonly outputTokens: number;
 };
 
+/** A request that was assigned to run at the engine. */
 type Run = {
 	readonly tokens: number;
 	/** When the first event is expected; undefined once it has arrived. */
@@ -61,7 +62,10 @@
 const TRANSIT_MS = 30;
 /** Weight of one outcome in the moving average of the failure rate. */
 const FAILURE_WEIGHT = 0.1;
-/** The failure rate decays with this half-life, because a failing engine gets no requests that could lower it. */
+/**
+ * The failure rate decays with this half-life, so that a failing engine is retried: it gets no requests that could lower
+ * its rate.
+ */
 const FAILURE_HALF_LIFE_MS = 3000;
 /** An engine is presumed unreachable if it has reported no progress for this long and work is overdue by as much. */
 const SILENCE_MS = 600;
--- a/src/routing/handoff.ts
+++ b/src/routing/handoff.ts
@@ -8,6 +8,7 @@
 	chooseEngine, DEFAULT_CHOICE_OPTIONS, ENGINE_ROLES, type Candidate, type ChoiceOptions, type EngineChoice, type RequestShape,
 } from './choice.js';
 
+/** Speed of KV cache transfers between engines. */
 export type TransferSpeed = {
 	/** KV cache tokens transferred per millisecond. */
 	readonly tokensPerMs: number;
@@ -41,23 +42,23 @@
 	random: Random,
 	options: ChoiceOptions = DEFAULT_CHOICE_OPTIONS,
 ): Placement | undefined {
-	const direct = candidates.filter(candidate => candidate.role !== ENGINE_ROLES.prefill);
-	const prefill = candidates.filter(candidate => candidate.role === ENGINE_ROLES.prefill);
-	const straight = chooseEngine(shape, direct.length > 0 ? direct : candidates, random, options);
-	if (prefill.length === 0 || direct.length === 0 || !straight) {
-		return straight && {first: straight, handsOff: false};
+	const decodeCapable = candidates.filter(candidate => candidate.role !== ENGINE_ROLES.prefill);
+	const prefillEngines = candidates.filter(candidate => candidate.role === ENGINE_ROLES.prefill);
+	const single = chooseEngine(shape, decodeCapable.length > 0 ? decodeCapable : candidates, random, options);
+	if (prefillEngines.length === 0 || decodeCapable.length === 0 || !single) {
+		return single && {first: single, handsOff: false};
 	}
 
-	const first = chooseEngine({...shape, outputTokens: 1}, prefill, random, {...options, respectRoles: false});
-	const own = candidates.find(candidate => candidate.server === straight.server)!;
-	const uncached = shape.promptTokens - (options.usePrefixCache ? Math.min(own.cachedTokens, shape.promptTokens) : 0);
-	if (!first || uncached < MIN_HANDOFF_TOKENS) {
-		return {first: straight, handsOff: false};
+	const first = chooseEngine({...shape, outputTokens: 1}, prefillEngines, random, {...options, respectRoles: false});
+	const singleCandidate = candidates.find(candidate => candidate.server === single.server)!;
+	const uncachedTokens = shape.promptTokens - (options.usePrefixCache ? Math.min(singleCandidate.cachedTokens, shape.promptTokens) : 0);
+	if (!first || uncachedTokens < MIN_HANDOFF_TOKENS) {
+		return {first: single, handsOff: false};
 	}
 
-	const moveMs = DEFAULT_TRANSFER.setupMs + (shape.promptTokens / DEFAULT_TRANSFER.tokensPerMs);
-	const isCheaper = first.cost.firstTokenMs + moveMs < straight.cost.firstTokenMs + (uncached / own.speed.prefillTokensPerMs);
-	return isCheaper ? {first, handsOff: true} : {first: straight, handsOff: false};
+	const transferMs = DEFAULT_TRANSFER.setupMs + (shape.promptTokens / DEFAULT_TRANSFER.tokensPerMs);
+	const isCheaper = first.cost.firstTokenMs + transferMs < single.cost.firstTokenMs + (uncachedTokens / singleCandidate.speed.prefillTokensPerMs);
+	return isCheaper ? {first, handsOff: true} : {first: single, handsOff: false};
 }
 
 /**
@@ -74,8 +75,8 @@
 	random: Random,
 	options: ChoiceOptions = DEFAULT_CHOICE_OPTIONS,
 ): EngineChoice | undefined {
-	const direct = candidates.filter(candidate => candidate.role !== ENGINE_ROLES.prefill);
-	const usable = (direct.length > 0 ? direct : candidates).map(candidate => ({...candidate, cachedTokens: shape.promptTokens}));
+	const decodeCapable = candidates.filter(candidate => candidate.role !== ENGINE_ROLES.prefill);
+	const usable = (decodeCapable.length > 0 ? decodeCapable : candidates).map(candidate => ({...candidate, cachedTokens: shape.promptTokens}));
 	return chooseEngine(shape, usable, random, {...options, respectRoles: false, usePrefixCache: true});
 }
 
--- a/src/routing/kvcache.ts
+++ b/src/routing/kvcache.ts
@@ -56,7 +56,7 @@
 		}
 	}
 
-	/** Removes parts that were recorded but not prefilled in the end. */
+	/** Removes parts that were recorded in advance but never prefilled. */
 	remove(keys: Iterable<string>): void {
 		for (const key of keys) {
 			this.#tokens -= this.#parts.get(key) ?? 0;
--- a/src/routing/planner.ts
+++ b/src/routing/planner.ts
@@ -6,6 +6,7 @@
 import {ENGINE_ROLES, type EngineRole} from './choice.js';
 import type {EngineInfo} from './engine.js';
 
+/** A planned change of one engine's role. */
 export type PoolRoleChange = {
 	readonly server: string;
 	readonly role: EngineRole;
@@ -21,6 +22,7 @@
 /** How long a pool must be imbalanced before it is changed, because restarting engines are back within seconds. */
 const STABILIZATION_MS = 3000;
 
+/** When a plan is made. */
 export type PlanningContext = {
 	readonly nowMs: number;
 	/** Whether the system is starting; no request is running yet that a role change could delay. */
--- a/src/routing/poison.ts
+++ b/src/routing/poison.ts
@@ -11,7 +11,7 @@
 /** Number of crashes without an acquittal after which a request counts as poisoned and is refused permanently. */
 export const POISON_LIMIT = 2;
 /**
- * Number of crashes, including acquitted ones, after which a request is refused: some crash their server only sometimes.
+ * Number of crashes, including acquitted ones, after which a request is refused: some requests crash their server only sometimes.
  */
 export const CRASH_LIMIT = 4;
 
--- a/src/routing/prefix.ts
+++ b/src/routing/prefix.ts
@@ -53,6 +53,7 @@
 /** This host's estimate of the engines' prefix caches. */
 export class PrefixIndex {
 	readonly #servers = new Map<string, ServerCache>();
+	/** Blocks of recent prompts at any server, in the order of their last use. */
 	readonly #seen = new Map<number, true>();
 	readonly #maxBlocks: number;
 
--- a/src/routing/roles.ts
+++ b/src/routing/roles.ts
@@ -18,6 +18,7 @@
 	readonly decode: number;
 };
 
+/** An engine that may change its role. */
 export type RoleCandidate = {
 	readonly server: string;
 	readonly role: EngineRole;
@@ -25,6 +26,7 @@
 	readonly running: number;
 };
 
+/** Parameters of role changes that a policy selects. */
 export type RoleProfile = {
 	/** Planning horizon within which a change must pay off, seconds. */
 	readonly horizonSeconds: number;
@@ -85,16 +87,16 @@
 
 	function evaluate(role: 'prefill' | 'decode', next: Demand): RoleChange | undefined {
 		const from = role === ENGINE_ROLES.prefill ? ENGINE_ROLES.decode : ENGINE_ROLES.prefill;
-		const emptiest = engines.filter(engine => engine.role === from).toSorted((a, b) => a.running - b.running)[0];
-		if (!emptiest || next.prefill < 1 || next.decode < 1) {
+		const leastLoaded = engines.filter(engine => engine.role === from).toSorted((a, b) => a.running - b.running)[0];
+		if (!leastLoaded || next.prefill < 1 || next.decode < 1) {
 			return undefined;
 		}
 
-		const removed = currentOverload - estimateOverload(demand, next, profile);
-		const gain = (removed * profile.horizonSeconds) - profile.downtimeSeconds - profile.changeWeight;
+		const removedOverload = currentOverload - estimateOverload(demand, next, profile);
+		const gain = (removedOverload * profile.horizonSeconds) - profile.downtimeSeconds - profile.changeWeight;
 		const reason = `prefill needs ${demand.prefill.toFixed(1)} of ${counts.prefill} engines, decode ${demand.decode.toFixed(1)} of ${counts.decode}`;
 		return {
-			server: emptiest.server, role, gain, reason,
+			server: leastLoaded.server, role, gain, reason,
 		};
 	}
 }
@@ -105,6 +107,7 @@
 	return excess(demand.prefill, counts.prefill) + excess(demand.decode, counts.decode);
 }
 
+/** Counts the engines of each role; a mixed engine counts half for each. */
 function countRoles(engines: readonly RoleCandidate[]): Demand {
 	const prefill = engines.filter(engine => engine.role === ENGINE_ROLES.prefill).length;
 	const mixed = engines.filter(engine => engine.role === ENGINE_ROLES.mixed).length;
@@ -146,6 +149,7 @@
 		this.#decode += decodeMs / this.#windowMs;
 	}
 
+	/** Returns the demand at the given time. */
 	current(nowMs: number): Demand {
 		this.#decay(nowMs);
 		return {prefill: this.#prefill, decode: this.#decode};
--- a/src/routing/scheduler.ts
+++ b/src/routing/scheduler.ts
@@ -13,6 +13,7 @@
 import type {PromptPart} from './kvcache.js';
 import {planPrefill, estimateTransferMs, type PrefillPlan} from './prefill.js';
 
+/** A streamed request to be placed. */
 export type PlacementRequest = {
 	readonly id: string;
 	readonly service: string;
@@ -33,6 +34,7 @@
 /** What a scheduler needs to know about a request that another scheduler placed. */
 export type ObservedRequest = Pick<PlacementRequest, 'id' | 'service' | 'parts' | 'promptTokens' | 'outputTokens' | 'patienceMs'>;
 
+/** Where a request runs, or why it is rejected. */
 export type PlacementDecision
 	= | {
 		readonly type: 'assignment';
@@ -110,6 +112,7 @@
 /** Time from the end of the runner's own prefill to the first event, milliseconds. */
 const DIRECT_FIRST_EVENT_MS = 10;
 
+/** A request that was placed and has not ended. */
 type OpenRequest = {
 	/** Undefined if another scheduler placed it. */
 	readonly request: PlacementRequest | undefined;
@@ -118,6 +121,7 @@
 	runner: string | undefined;
 };
 
+/** The prefill of a request at one engine. */
 type PrefillOption = {
 	readonly engine: EngineState;
 	readonly plan: PrefillPlan;
@@ -127,6 +131,7 @@
 	readonly costMs: number;
 };
 
+/** The engines for a request: a reader, or a runner that also prefills. */
 type EngineSelection = {
 	/** Engine that prefills for a runner that is chosen later; undefined if the runner prefills itself. */
 	readonly reader: EngineState | undefined;
@@ -151,9 +156,9 @@
 		}
 
 		for (const info of engines) {
-			const known = this.#engines.get(info.server);
-			if (known?.info.incarnation === info.incarnation) {
-				known.info = info;
+			const state = this.#engines.get(info.server);
+			if (state?.info.incarnation === info.incarnation) {
+				state.info = info;
 			} else {
 				this.#engines.set(info.server, new EngineState(info));
 			}
@@ -169,24 +174,24 @@
 	place(request: PlacementRequest, nowMs: number): PlacementDecision {
 		this.#expireRequests(nowMs);
 		this.#closeRequest(request.id, nowMs);
-		const onTime = this.#selectEngines(request, nowMs, false);
-		if (!onTime) {
+		const initial = this.#selectEngines(request, nowMs, false);
+		if (!initial) {
 			return reject(request, 'no engine makes tokens', NO_ENGINE_RETRY_MS);
 		}
 
 		// A request that queueing has made late is scheduled behind those that can still meet their objective. A prompt
 		// that is late by its size alone keeps its priority, since it would starve otherwise; so does a short one, since
 		// it hardly delays others.
-		const {workMs} = onTime.plan;
+		const {workMs} = initial.plan;
 		const isDeferrable = workMs > MIN_DEFERRABLE_MS && workMs < request.objectiveMs * LARGE_PROMPT_SHARE;
-		const isLate = isDeferrable && onTime.firstEventMs > request.objectiveMs;
-		const choice = isLate ? this.#selectEngines(request, nowMs, true) ?? onTime : onTime;
-		if (choice.firstEventMs > request.patienceMs * REJECTION_FACTOR) {
-			const reason = `the first event would come in ${Math.round(choice.firstEventMs)} ms, its caller waits ${Math.round(request.patienceMs)} ms`;
-			return reject(request, reason, Math.max(MIN_RETRY_AFTER_MS, choice.firstEventMs - request.objectiveMs));
+		const isLate = isDeferrable && initial.firstEventMs > request.objectiveMs;
+		const selection = isLate ? this.#selectEngines(request, nowMs, true) ?? initial : initial;
+		if (selection.firstEventMs > request.patienceMs * REJECTION_FACTOR) {
+			const reason = `the first event would come in ${Math.round(selection.firstEventMs)} ms, its caller waits ${Math.round(request.patienceMs)} ms`;
+			return reject(request, reason, Math.max(MIN_RETRY_AFTER_MS, selection.firstEventMs - request.objectiveMs));
 		}
 
-		return this.#assign(request, choice, isLate, nowMs);
+		return this.#assign(request, selection, isLate, nowMs);
 	}
 
 	/** Records another scheduler's placement, so that this one can take over if the other fails. */
@@ -258,16 +263,16 @@
 
 	/** Selects the engines with the lowest cost for the first event; undefined if no engine decodes. */
 	#selectEngines(request: PlacementRequest, nowMs: number, isLate: boolean): EngineSelection | undefined {
-		const holders = this.#listEngines(request).filter(engine => !engine.isSuspected(nowMs));
-		const prefillEngines = holders.filter(({info}) => info.role === ENGINE_ROLES.prefill);
+		const healthyEngines = this.#listEngines(request).filter(engine => !engine.isSuspected(nowMs));
+		const prefillEngines = healthyEngines.filter(({info}) => info.role === ENGINE_ROLES.prefill);
 		const runners = this.#listRunners(request, nowMs);
-		const direct = findCheapest(runners.map(engine => this.#evaluatePrefill(engine, request, holders, {nowMs, isLate})));
+		const direct = findCheapest(runners.map(engine => this.#evaluatePrefill(engine, request, healthyEngines, {nowMs, isLate})));
 		if (!direct) {
 			return undefined;
 		}
 
 		const runCostMs = Math.min(...runners.map(engine => this.#estimateRunCostMs(engine, request, nowMs)));
-		const separate = findCheapest(prefillEngines.map(engine => this.#evaluatePrefill(engine, request, holders, {nowMs, isLate})));
+		const separate = findCheapest(prefillEngines.map(engine => this.#evaluatePrefill(engine, request, healthyEngines, {nowMs, isLate})));
 		if (separate && separate.costMs + HANDOFF_MS + runCostMs < direct.costMs) {
 			return {
 				reader: separate.engine, runner: undefined, plan: separate.plan, firstEventMs: separate.prefilledMs + HANDOFF_MS + HANDOFF_FIRST_EVENT_MS,
@@ -330,18 +335,18 @@
 		return [...this.#engines.values()].filter(({info}) => info.service === request.service && !request.excluded.includes(info.server));
 	}
 
-	#evaluatePrefill(engine: EngineState, request: PlacementRequest, holders: readonly EngineState[], {nowMs, isLate}: {nowMs: number; isLate: boolean}): PrefillOption {
-		const plan = planPrefill(engine, request, holders);
+	#evaluatePrefill(engine: EngineState, request: PlacementRequest, healthyEngines: readonly EngineState[], {nowMs, isLate}: {nowMs: number; isLate: boolean}): PrefillOption {
+		const plan = planPrefill(engine, request, healthyEngines);
 		const networkMs = engine.info.dataCentre === request.dataCentre ? 0 : CROSS_DATA_CENTRE_MS;
 		const priority = isLate ? LATE_PRIORITY : request.priority;
 		const prefilledMs = engine.overheadMs + engine.waitMs(priority, nowMs) + plan.workMs + networkMs;
 		const overtakingMs = engine.countLowerPriority(priority, nowMs) * plan.workMs * OVERTAKING_WEIGHT;
 		const interference = 1 + (engine.runningCount * INTERFERENCE_WEIGHT);
-		const othersMs = engine.info.role === ENGINE_ROLES.prefill
+		const additionalCostMs = engine.info.role === ENGINE_ROLES.prefill
 			? estimateFailureCostMs(engine, nowMs)
 			: (plan.workMs * interference) + this.#estimateRunCostMs(engine, request, nowMs);
 		return {
-			engine, plan, prefilledMs, costMs: prefilledMs + plan.evictionCostMs + overtakingMs + othersMs,
+			engine, plan, prefilledMs, costMs: prefilledMs + plan.evictionCostMs + overtakingMs + additionalCostMs,
 		};
 	}
 
@@ -372,7 +377,7 @@
 	}
 }
 
-/** Expected cost of a failure at an engine, milliseconds. */
+/** Expected cost of a failure at an engine whose failure rate exceeds the tolerance, milliseconds. */
 function estimateFailureCostMs(engine: EngineState, nowMs: number): number {
 	return Math.max(0, engine.failureRate(nowMs) - FAILURE_TOLERANCE) * FAILURE_COST_MS;
 }
--- a/src/serving/context.ts
+++ b/src/serving/context.ts
@@ -23,6 +23,7 @@
 	ResponseHandler, Exchange, AttemptFailure, Upstream,
 } from './upstream.js';
 
+/** Dependencies that all requests of an entry host share. */
 export type ServingContext = {
 	readonly dataCentre: string;
 	readonly clock: Clock;
--- a/src/serving/placement.ts
+++ b/src/serving/placement.ts
@@ -18,6 +18,7 @@
 	send(host: string, message: Message): boolean;
 }
 
+/** A placement decision and the host that made it. */
 export type PlacementResult = {
 	readonly decision: PlacementDecision;
 	/** Host that decided; 'self' for this one. */
--- a/src/serving/plaincall.ts
+++ b/src/serving/plaincall.ts
@@ -30,7 +30,7 @@
 /** A repeatable request is retried at another server after this multiple of its objective without a response. */
 const RESPONSE_TIMEOUT_FACTOR = 2.5;
 /** Retry time for callers after all servers have refused, seconds. */
-const FULL_RETRY_SECONDS = 0.3;
+const REFUSED_RETRY_SECONDS = 0.3;
 
 /** Runs one request, with retries, to its end. */
 export class PlainCall {
@@ -117,7 +117,7 @@
 			return;
 		}
 
-		caller.fail(outcome?.type === 'notExecuted' ? createProblem('notStarted', undefined, FULL_RETRY_SECONDS) : createNoServerProblem(this.#call));
+		caller.fail(outcome?.type === 'notExecuted' ? createProblem('notStarted', undefined, REFUSED_RETRY_SECONDS) : createNoServerProblem(this.#call));
 	}
 
 	/** Selects the server with the lowest load for its capacity; between equals, one in this data centre. */
@@ -184,7 +184,7 @@
 		return sendAttempt(context, this.#call, {server, phase: 'full', deadlineMs}, {
 			onHead: (status, headers) => {
 				head = context.protocol.parseResponse(status, headers);
-				this.#noteLoad(server, head);
+				this.#recordLoad(server, head);
 				const mismatch = findResponseMismatch(this.#call, head);
 				if (mismatch !== undefined) {
 					context.logger.warn(`Discarded a response from server ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
@@ -208,7 +208,7 @@
 		});
 	}
 
-	#noteLoad(server: Announcement, {load}: ResponseHead): void {
+	#recordLoad(server: Announcement, {load}: ResponseHead): void {
 		if (load) {
 			const {running, waiting} = load;
 			this.#context.loadTracker.recordReport(server.server, {
--- a/src/serving/protocol.ts
+++ b/src/serving/protocol.ts
@@ -45,6 +45,7 @@
 /** One attempt of a request at one server. */
 export type Attempt = {
 	readonly phase: AttemptPhase;
+	/** Remaining time for the response, milliseconds. */
 	readonly deadlineMs: number;
 	/** The server that must respond; another server at the same address refuses the request. */
 	readonly server: string;
--- a/src/serving/streamcall.ts
+++ b/src/serving/streamcall.ts
@@ -37,6 +37,7 @@
 /** A prefill times out after this multiple of the expected time, but not before `MIN_PREFILL_TIMEOUT_MS`. */
 const PREFILL_TIMEOUT_FACTOR = 3;
 const MIN_PREFILL_TIMEOUT_MS = 700;
+/** Retry time for callers whose request failed before any engine ran it, seconds. */
 const FAILED_RETRY_SECONDS = 0.5;
 const HTTP_OK = 200;
 const HTTP_SERVER_ERROR = 500;
@@ -301,9 +302,9 @@
 					}
 
 					context.health.recordSuccess(server.server);
-					const rest = this.#splitter?.takeIncomplete();
-					if (rest && rest.length > 0) {
-						caller.write(rest, () => undefined);
+					const incompleteEvent = this.#splitter?.takeIncomplete();
+					if (incompleteEvent && incompleteEvent.length > 0) {
+						caller.write(incompleteEvent, () => undefined);
 					}
 
 					caller.endResponse();
@@ -325,12 +326,12 @@
 			this.#context.placement.reportMilestone(head.id, 'first', undefined);
 		}
 
-		const whole = this.#splitter && isStream ? this.#splitter.push(chunk) : chunk;
+		const events = this.#splitter && isStream ? this.#splitter.push(chunk) : chunk;
 		const exchange = this.#exchange;
-		const isTaken = whole.length === 0 || caller.write(whole, () => {
+		const hasCapacity = events.length === 0 || caller.write(events, () => {
 			exchange?.resume();
 		});
-		if (!isTaken) {
+		if (!hasCapacity) {
 			exchange?.pause();
 		}
 	}
--- a/src/serving/upstream.ts
+++ b/src/serving/upstream.ts
@@ -256,6 +256,7 @@
 		}
 	}
 
+	/** Marks the exchange as ended; returns false if it has already ended. */
 	#end(): boolean {
 		clearTimeout(this.#timer);
 		const isFirst = !this.#isEnded;
