--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -15,18 +15,18 @@
 import {Controller} from '../src/control/controller.js';
 import {Ledger} from '../src/control/ledger.js';
 import {ControlState} from '../src/control/state.js';
-import {View} from '../src/entry/view.js';
+import {ResourceView} from '../src/entry/view.js';
 import type {
-	Announcement, Command, Fact, Gossip, Message, Renew,
+	Announcement, Command, Fact, GossipMessage, Message, RenewRequest,
 } from '../src/generated/types.js';
 import {Directory} from '../src/membership/directory.js';
-import {FANOUT, MAX_RUMOR_BYTES, ROUND_MS} from '../src/membership/gossip.js';
+import {FANOUT, MAX_RUMOR_BYTES, ROUND_INTERVAL_MS} from '../src/membership/gossip.js';
 import {chooseEngine, DEFAULT_ENGINE_SPEED, type Candidate} from '../src/routing/choice.js';
 import {AdmissionController} from '../src/routing/admission.js';
 import {LoadTracker} from '../src/routing/load.js';
 import {PrefixIndex} from '../src/routing/prefix.js';
-import {decodeValue, encodeFrame, encodeValue} from '../src/wire/frame.js';
-import {fitLine, round} from './statistics.js';
+import {decodeCbor, encodeFrame, encodeCbor} from '../src/wire/frame.js';
+import {fitLine, roundToFourDigits} from './statistics.js';
 
 const {values} = parseArgs({
 	options: {json: {type: 'boolean', default: false}, only: {type: 'string'}},
@@ -34,7 +34,7 @@
 
 /** Keeps what is measured from being collected. */
 const kept: unknown[] = [];
-const ROUNDS_A_SECOND = 1000 / ROUND_MS;
+const ROUNDS_A_SECOND = 1000 / ROUND_INTERVAL_MS;
 
 slope('heap bytes per announced server, entry host', [200, 400, 800, 1600], count => heapOf(() => {
 	const directory = new Directory('h0');
@@ -56,8 +56,8 @@
 }));
 
 slope('heap bytes per resource, view of an entry host', [500, 1000, 2000, 4000], count => heapOf(() => {
-	const view = new View();
-	view.apply(createState(count).updateSince(-1));
+	const view = new ResourceView();
+	view.apply(createState(count).createViewUpdate(-1));
 	return view;
 }));
 
@@ -65,11 +65,11 @@
 
 slope('heap bytes per ledger entry, control replica', [10_000, 20_000, 40_000, 80_000], count => heapOf(() => createLedger(count)));
 
-slope('snapshot bytes per ledger entry', [10_000, 20_000, 40_000, 80_000], count => encodeValue(createLedger(count).save()).length);
+slope('snapshot bytes per ledger entry', [10_000, 20_000, 40_000, 80_000], count => encodeCbor(createLedger(count).createSnapshot()).length);
 
 slope('snapshot microseconds per ledger entry', [10_000, 20_000, 40_000, 80_000], count => {
 	const ledger = createLedger(count);
-	return cpuOf(() => encodeValue(ledger.save()), 5);
+	return cpuOf(() => encodeCbor(ledger.createSnapshot()), 5);
 });
 
 slope('leader microseconds per renewal of a view lease', [50, 100, 200, 380], count => {
@@ -78,10 +78,10 @@
 	const frames = Array.from({length: count}, (_, index) => encodeFrame(createRenewal(index, state.viewVersion)).subarray(4));
 	return cpuOf(() => {
 		for (const frame of frames) {
-			const message = decodeValue(frame) as Renew;
+			const message = decodeCbor(frame) as RenewRequest;
 			validate('Message', message);
-			const leaseMs = controller.renew(message, 1);
-			encodeFrame(createRenewed(leaseMs, state.updateSince(message.version)));
+			const leaseMs = controller.renewViewLease(message, 1);
+			encodeFrame(createRenewed(leaseMs, state.createViewUpdate(message.version)));
 		}
 	}, 30);
 });
@@ -90,7 +90,7 @@
 	const state = createState(10);
 	let bytes = 0;
 	for (let index = 0; index < count; index++) {
-		bytes += encodeFrame(createRenewal(index, state.viewVersion)).length + encodeFrame(createRenewed(1500, state.updateSince(state.viewVersion))).length;
+		bytes += encodeFrame(createRenewal(index, state.viewVersion)).length + encodeFrame(createRenewed(1500, state.createViewUpdate(state.viewVersion))).length;
 	}
 
 	return bytes;
@@ -100,7 +100,7 @@
 	const state = createState(1200);
 	return cpuOf(() => {
 		for (let host = 0; host < count; host++) {
-			encodeFrame(createRenewed(0, state.updateSince(state.viewVersion - 1)));
+			encodeFrame(createRenewed(0, state.createViewUpdate(state.viewVersion - 1)));
 		}
 	}, 30);
 });
@@ -129,14 +129,14 @@
 });
 
 slope('replica microseconds per claim and settlement applied', [1000, 2000, 4000, 8000], count => {
-	const frames = Array.from({length: count}, (_, index) => createClaimPair(index).map(command => encodeValue(command)));
+	const frames = Array.from({length: count}, (_, index) => createClaimPair(index).map(command => encodeCbor(command)));
 	return cpuOf(() => {
 		const state = new ControlState();
 		let index = 0;
 		for (const pair of frames) {
 			for (const data of pair) {
 				index++;
-				state.apply(decodeValue(data) as Command, index);
+				state.apply(decodeCbor(data) as Command, index);
 			}
 		}
 	}, 5);
@@ -155,7 +155,7 @@
 		bytes.push([hosts, result.bytesPerSecond]);
 		cpu.push([hosts, result.cpuMsPerSecond]);
 		print({
-			subject: 'gossip', hosts, servers, bytesPerSecondPerHost: Math.round(result.bytesPerSecond), cpuMsPerSecondPerHost: round(result.cpuMsPerSecond), leavingKnownEverywhereMs: result.leavingMs,
+			subject: 'gossip', hosts, servers, bytesPerSecondPerHost: Math.round(result.bytesPerSecond), cpuMsPerSecondPerHost: roundToFourDigits(result.cpuMsPerSecond), leavingKnownEverywhereMs: result.leavingMs,
 		});
 	}
 
@@ -191,12 +191,12 @@
 			sequence++;
 			const isLeaving = index === 0 && round >= 50;
 			const announcement = {...createAnnouncement(index, sequence), ...(isLeaving ? {leaving: true} : {})};
-			directories[Math.floor(random() * hosts)]!.merge({type: 'server', announcement}, round * ROUND_MS);
+			directories[Math.floor(random() * hosts)]!.merge({type: 'server', announcement}, round * ROUND_INTERVAL_MS);
 		}
 
 		bytes += spreadRound(directories, random, round);
 		if (leavingMs < 0 && round >= 50 && directories.every(directory => directory.findServer('server-0')?.leaving === true)) {
-			leavingMs = (round - 50 + 1) * ROUND_MS;
+			leavingMs = (round - 50 + 1) * ROUND_INTERVAL_MS;
 		}
 	}
 
@@ -217,10 +217,10 @@
 
 			const frame = encodeFrame(createGossip(index, facts));
 			bytes += frame.length;
-			const message = decodeValue(frame.subarray(4)) as Gossip;
+			const message = decodeCbor(frame.subarray(4)) as GossipMessage;
 			validate('Message', message);
 			for (const fact of message.facts) {
-				directories[target]!.merge(fact, round * ROUND_MS);
+				directories[target]!.merge(fact, round * ROUND_INTERVAL_MS);
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 function report(subject: string, points: ReadonlyArray<readonly [number, number]>): void {
 	const fit = fitLine(points);
 	print({
-		subject, slope: round(fit.slope), intercept: round(fit.intercept), residual: round(fit.residual), points: points.map(([size, value]) => `${size}:${round(value)}`).join(' '),
+		subject, slope: roundToFourDigits(fit.slope), intercept: roundToFourDigits(fit.intercept), residual: roundToFourDigits(fit.residual), points: points.map(([size, value]) => `${size}:${roundToFourDigits(value)}`).join(' '),
 	});
 }
 
@@ -343,13 +343,13 @@
 	] as const satisfies readonly Command[];
 }
 
-function createRenewal(index: number, version: number): Renew {
+function createRenewal(index: number, version: number): RenewRequest {
 	return {
 		type: 'renew', id: 12_345, host: `host-${index}`, boot: '5d1f8f0e-9f6c-4f5e-b0b6-1f2e3d4c5b6a', version, running: [], announcements: [], demand: Array.from({length: 13}, (_, model) => ({model: `model-${model}`, prefill: 1.25, decode: 3.5})), leaving: false,
 	};
 }
 
-function createRenewed(leaseMs: number, view: ReturnType<ControlState['updateSince']>): Message {
+function createRenewed(leaseMs: number, view: ReturnType<ControlState['createViewUpdate']>): Message {
 	const members = Array.from({length: 5}, (_, index) => ({
 		replica: `5d1f8f0e-9f6c-4f5e-b0b6-1f2e3d4c5b6${index}`, host: `host-${index}`, address: '10.20.1.1', port: 7400,
 	}));
--- a/src/daemon/controlhost.ts
+++ b/src/daemon/controlhost.ts
@@ -10,17 +10,17 @@
 import type {Random} from '../base/random.js';
 import {ControlClient} from '../control/client.js';
 import {
-	ALL_ORDER_MECHANISMS, createRoleChange, DEFAULT_CONTROLLER_TIMING,
+	ALL_ORDER_SAFEGUARDS, createRoleChange, DEFAULT_CONTROLLER_TIMING,
 } from '../control/controller.js';
-import type {OrderPort} from '../control/order.js';
+import type {OrderTransport} from '../control/order.js';
 import type {ControlMetrics} from '../control/metrics.js';
 import {ControlService} from '../control/service.js';
 import {ANY_VERSION, excludesServer, PUBLICATION_NAME} from '../control/state.js';
 import type {
-	Announcement, Message, Publication, Put, ViewUpdate,
+	Announcement, Message, Publication, PutCommand, ViewUpdate,
 } from '../generated/types.js';
 import {FeedPublisher, FeedSubscription} from '../membership/feed.js';
-import {DEFAULT_REGISTRY_TIMING, Registry, type Merge} from '../membership/registry.js';
+import {DEFAULT_REGISTRY_TIMING, ServerRegistry, type MergeResult} from '../membership/registry.js';
 import {RouteTable, type RoutingConfig} from '../routing/routes.js';
 import {Scheduler} from '../routing/scheduler.js';
 import {RolePlanner} from '../routing/planner.js';
@@ -32,20 +32,20 @@
 	readonly host: string;
 	readonly dataCentre: string;
 	/** Where the system's own processes reach this host. */
-	readonly peer: Address;
-	readonly folder: string;
+	readonly peerAddress: Address;
+	readonly dataFolder: string;
 	readonly seeds: readonly Address[];
 	readonly firstStart: boolean;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly loggers: LoggerFactory;
 	readonly metrics: ControlMetrics;
-	readonly dialect: Pick<ProtocolAdapter, 'parseRoutingConfig'>;
-	readonly createOrders: (findServer: (server: string) => Announcement | undefined) => OrderPort;
+	readonly protocol: Pick<ProtocolAdapter, 'parseRoutingConfig'>;
+	readonly createOrderTransport: (findServer: (server: string) => Announcement | undefined) => OrderTransport;
 	/** Time between the orders of two control hosts, milliseconds. */
 	readonly leaseMs: number;
 	/** Interval of announcements, milliseconds. */
-	readonly announceMs: number;
+	readonly announceIntervalMs: number;
 };
 
 /** Operators turn to another host after a second without an answer. */
@@ -65,7 +65,7 @@
 
 /** A running control host. Whoever started it stops it. */
 export class ControlHost {
-	readonly registry: Registry;
+	readonly registry: ServerRegistry;
 	readonly #options: ControlHostOptions;
 	readonly #logger: Logger;
 	readonly #service: ControlService;
@@ -80,7 +80,7 @@
 	#table: RouteTable | undefined;
 	#roleChangedMs = Number.NEGATIVE_INFINITY;
 
-	private constructor(options: ControlHostOptions, service: ControlService, registry: Registry, listener: Listener) {
+	private constructor(options: ControlHostOptions, service: ControlService, registry: ServerRegistry, listener: Listener) {
 		this.#options = options;
 		this.#logger = options.loggers('control');
 		this.#service = service;
@@ -88,7 +88,7 @@
 		this.#listener = listener;
 		this.#startedMs = options.clock.monotonicMs();
 		const {clock, host, dataCentre, seeds} = options;
-		this.#client = new ControlClient({seeds: [options.peer, ...seeds.filter(seed => !isSame(seed, options.peer))], clock, onPushed: () => undefined});
+		this.#client = new ControlClient({seeds: [options.peerAddress, ...seeds.filter(seed => !isSame(seed, options.peerAddress))], clock, onViewPushed: () => undefined});
 		this.#publisher = new FeedPublisher({
 			host,
 			registry,
@@ -102,13 +102,13 @@
 			host,
 			dataCentre,
 			role: 'control',
-			seeds: seeds.filter(seed => !isSame(seed, options.peer)),
+			seeds: seeds.filter(seed => !isSame(seed, options.peerAddress)),
 			clock,
 			logger: options.loggers('membership'),
 			readVersion: () => Number.MAX_SAFE_INTEGER,
 			onFeed: feed => {
 				for (const sighting of feed.sightings) {
-					this.#noteMerge(this.registry.mergeSighting(sighting, clock.monotonicMs()), sighting.announcement);
+					this.#noteMerge(this.registry.mergeStatus(sighting, clock.monotonicMs()), sighting.announcement);
 				}
 			},
 		});
@@ -120,29 +120,29 @@
 
 	/** Opens the data folder and starts. */
 	static async start(options: ControlHostOptions): Promise<Either.Either<Problem, ControlHost>> {
-		const registry = new Registry({...DEFAULT_REGISTRY_TIMING, silentAfterMs: options.announceMs * SILENT_INTERVALS});
+		const registry = new ServerRegistry({...DEFAULT_REGISTRY_TIMING, silentAfterMs: options.announceIntervalMs * SILENT_INTERVALS});
 		const holder: {host?: ControlHost} = {};
 		const listener = new Listener((message, connection) => {
 			holder.host?.receive(message, connection);
 		});
-		const {peer} = options;
+		const {peerAddress: peer} = options;
 		const service = await ControlService.start({
 			host: peer.address,
-			folder: options.folder,
+			folder: options.dataFolder,
 			peers: options.seeds.map(seed => ({host: seed.address, ...seed})),
 			self: {host: peer.address, ...peer},
 			listPeers: () => holder.host?.listControlAddresses() ?? options.seeds,
-			mayBootstrap: options.firstStart,
+			canBootstrap: options.firstStart,
 			clock: options.clock,
 			random: options.random,
 			loggers: options.loggers,
-			orders: options.createOrders(server => registry.lookup(server)?.announcement),
-			controllerTiming: {...DEFAULT_CONTROLLER_TIMING, successionMs: options.leaseMs + SUCCESSION_MARGIN_MS},
+			orderTransport: options.createOrderTransport(server => registry.findStatus(server)?.announcement),
+			controllerTiming: {...DEFAULT_CONTROLLER_TIMING, minTakeoverMs: options.leaseMs + SUCCESSION_MARGIN_MS},
 			// Engines finish what runs before they change their role.
-			orderMechanisms: {...ALL_ORDER_MECHANISMS, awaitViews: false, awaitQuiet: false},
+			orderSafeguards: {...ALL_ORDER_SAFEGUARDS, awaitViewAcknowledgements: false, awaitIdle: false},
 			listEngines: () => registry.listUsable().filter(({kind}) => kind === 'engine'),
 			onApplied() {
-				holder.host?.noteApplied();
+				holder.host?.handleStateChange();
 			},
 		});
 		if (Either.isLeft(service)) {
@@ -171,11 +171,11 @@
 
 	/** Takes control hosts that the settings name now. */
 	applySettings({seeds}: Pick<ControlHostOptions, 'seeds'>): void {
-		this.#subscription.addSeeds(seeds.filter(seed => !isSame(seed, this.#options.peer)));
+		this.#subscription.addSeeds(seeds.filter(seed => !isSame(seed, this.#options.peerAddress)));
 	}
 
 	/** Takes an announcement; refused without a majority, so that the server turns to another host. */
-	announce(announcement: Announcement): Either.Either<Problem, void> {
+	handleAnnouncement(announcement: Announcement): Either.Either<Problem, void> {
 		if (!this.#service.hasQuorum) {
 			this.#options.metrics.announcements.inc({outcome: 'refused'});
 			return Either.left(createProblem('noQuorum', undefined, 1));
@@ -188,12 +188,12 @@
 	}
 
 	/** Takes a server's leave. */
-	leave(server: string): Either.Either<Problem, void> {
+	deregister(server: string): Either.Either<Problem, void> {
 		if (!this.#service.hasQuorum) {
 			return Either.left(createProblem('noQuorum', undefined, 1));
 		}
 
-		if (this.registry.leave(server)) {
+		if (this.registry.deregister(server)) {
 			this.#logger.info(`Server ${server} leaves.`, {server});
 			this.#publisher.notify();
 			this.#updateEngines();
@@ -204,7 +204,7 @@
 
 	/** Puts a publication in force, unless a later one is; returns once it cannot be lost any more. */
 	async publish(text: string): Promise<Either.Either<Problem, void>> {
-		const {dialect, metrics} = this.#options;
+		const {protocol: dialect, metrics} = this.#options;
 		const catalogue = dialect.parseRoutingConfig(text);
 		if (Either.isLeft(catalogue)) {
 			metrics.publications.inc({outcome: 'invalid'});
@@ -219,7 +219,7 @@
 			return Either.right(undefined);
 		}
 
-		const command: Put = {
+		const command: PutCommand = {
 			type: 'put',
 			at: this.#options.clock.wallMs(),
 			requestId: `publish-${version}`,
@@ -238,8 +238,8 @@
 	/** Reads the publication in force now; a majority confirms it. */
 	async readPublication(): Promise<Either.Either<Problem, string>> {
 		const {state} = this.#service;
-		const listing = await this.#client.read(state.viewVersion, READ_DEADLINE_MS)();
-		this.#options.metrics.reads.inc({outcome: Either.isRight(listing) ? 'answered' : 'unanswered'});
+		const listing = await this.#client.readResources(state.viewVersion, READ_DEADLINE_MS)();
+		this.#options.metrics.publicationReads.inc({outcome: Either.isRight(listing) ? 'answered' : 'unanswered'});
 		if (Either.isLeft(listing)) {
 			return listing;
 		}
@@ -251,13 +251,13 @@
 	receive(message: Message, connection: Connection): void {
 		switch (message.type) {
 			case 'watch': {
-				this.#publisher.receive(message, connection);
+				this.#publisher.handleWatch(message, connection);
 				break;
 			}
 
 			case 'offer': {
 				const decision = this.#placer.place(message, this.#options.clock.monotonicMs());
-				this.#options.metrics.placements.inc({decision: decision.type});
+				this.#options.metrics.placementDecisions.inc({decision: decision.type});
 				connection.send(decision);
 				break;
 			}
@@ -284,13 +284,13 @@
 	}
 
 	/** Follows the state that the log drives. */
-	noteApplied(): void {
+	handleStateChange(): void {
 		this.#onApplied();
 	}
 
 	/** Hands leadership over, then stops. */
 	async stop(): Promise<void> {
-		this.#service.handOver();
+		this.#service.transferLeadership();
 		await this.close();
 	}
 
@@ -304,7 +304,7 @@
 	}
 
 	#isWarm(): boolean {
-		return this.#options.clock.monotonicMs() - this.#startedMs > this.#options.announceMs * WARM_INTERVALS;
+		return this.#options.clock.monotonicMs() - this.#startedMs > this.#options.announceIntervalMs * WARM_INTERVALS;
 	}
 
 	#isNew(): boolean {
@@ -312,7 +312,7 @@
 		return firstStart && clock.monotonicMs() - this.#startedMs < NEW_MS;
 	}
 
-	#noteMerge(merge: Merge, {server, incarnation, sequence, role, leaving}: Announcement): void {
+	#noteMerge(merge: MergeResult, {server, incarnation, sequence, role, leaving}: Announcement): void {
 		if (merge === 'change') {
 			this.#logger.info(`Server ${server} has news.`, {
 				server, incarnation, sequence, role, leaving,
@@ -329,7 +329,7 @@
 			return;
 		}
 
-		const catalogue = this.#options.dialect.parseRoutingConfig(publication.body);
+		const catalogue = this.#options.protocol.parseRoutingConfig(publication.body);
 		if (Either.isLeft(catalogue)) {
 			this.#logger.error(`Publication ${publication.version} cannot be read.`, {version: publication.version, reason: catalogue.left.text});
 			return;
@@ -365,19 +365,19 @@
 
 	#updateGauges(): void {
 		const {metrics} = this.#options;
-		metrics.placed.set(this.#placer.openCount);
-		metrics.servers.set(this.registry.listUsable().length);
-		metrics.subscribers.set(this.#publisher.entryCount);
-		metrics.leads.set(this.#service.hasAuthority ? 1 : 0);
-		metrics.majority.set(this.#service.hasQuorum ? 1 : 0);
-		metrics.version.set(this.#table?.config.version ?? 0);
+		metrics.openPlacements.set(this.#placer.openCount);
+		metrics.usableServers.set(this.registry.listUsable().length);
+		metrics.feedEntryHosts.set(this.#publisher.entryHostCount);
+		metrics.isLeader.set(this.#service.holdsLeaderLease ? 1 : 0);
+		metrics.hasMajority.set(this.#service.hasQuorum ? 1 : 0);
+		metrics.publicationVersion.set(this.#table?.config.version ?? 0);
 	}
 
 	async #planRoles(): Promise<void> {
 		const {clock} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const {state} = this.#service;
-		const isDue = this.#service.hasAuthority && this.#isWarm() && nowMs - this.#roleChangedMs > ROLE_DWELL_MS;
+		const isDue = this.#service.holdsLeaderLease && this.#isWarm() && nowMs - this.#roleChangedMs > ROLE_DWELL_MS;
 		if (!isDue || state.listOpenChanges().length > 0) {
 			return;
 		}
--- a/src/daemon/entryhost.ts
+++ b/src/daemon/entryhost.ts
@@ -4,13 +4,13 @@
  * @module
  */
 import * as Either from 'fp-ts/lib/Either.js';
-import {pause, type Clock} from '../base/clock.js';
+import {sleep, type Clock} from '../base/clock.js';
 import type {Logger, LoggerFactory} from '../base/logger.js';
 import type {Problem} from '../base/problem.js';
 import type {Random} from '../base/random.js';
 import type {Feed} from '../generated/types.js';
 import {FeedSubscription, inflatePublication} from '../membership/feed.js';
-import {Roster} from '../membership/roster.js';
+import {ServerDiscovery} from '../membership/discovery.js';
 import {ServiceRetryBudget, type RetryBudgetLimits} from '../routing/budget.js';
 import {RouteTable} from '../routing/routes.js';
 import {HealthTracker} from '../routing/health.js';
@@ -28,14 +28,14 @@
 export type EntryHostOptions = {
 	readonly host: string;
 	readonly dataCentre: string;
-	readonly callers: Address;
+	readonly callerAddress: Address;
 	readonly seeds: readonly Address[];
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly loggers: LoggerFactory;
-	readonly dialect: ProtocolAdapter;
+	readonly protocol: ProtocolAdapter;
 	readonly metrics: ServingMetrics;
-	readonly budget: RetryBudgetLimits;
+	readonly retryBudget: RetryBudgetLimits;
 	/** Time from the signal to stop to the end of the process, milliseconds. */
 	readonly graceMs: number;
 };
@@ -53,7 +53,7 @@
 	readonly #upstream = new Upstream();
 	readonly #local = new Scheduler();
 	readonly #subscription: FeedSubscription;
-	readonly #roster: Roster;
+	readonly #roster: ServerDiscovery;
 	readonly #budget: ServiceRetryBudget;
 	readonly #gateway: Gateway;
 	readonly #placing: PlacementClient;
@@ -64,8 +64,8 @@
 	private constructor(options: EntryHostOptions) {
 		this.#options = options;
 		this.#logger = options.loggers('entry');
-		const {clock, random, dataCentre, dialect, metrics} = options;
-		this.#budget = new ServiceRetryBudget(options.budget);
+		const {clock, random, dataCentre, protocol: dialect, metrics} = options;
+		this.#budget = new ServiceRetryBudget(options.retryBudget);
 		this.#subscription = new FeedSubscription({
 			host: options.host,
 			dataCentre,
@@ -81,7 +81,7 @@
 				this.#placing.receive(message, control);
 			},
 		});
-		this.#roster = new Roster(this.#subscription);
+		this.#roster = new ServerDiscovery(this.#subscription);
 		this.#placing = new PlacementClient(this.#subscription, this.#local, clock);
 		const core: ServingContext = {
 			dataCentre,
@@ -96,7 +96,7 @@
 			retryBudget: this.#budget,
 			placement: this.#placing,
 			listServers: () => this.#roster.listUsable(),
-			findServer: server => this.#roster.lookup(server),
+			findServer: server => this.#roster.findServer(server),
 			countHosts: () => this.#hostCount,
 		};
 		this.#gateway = new Gateway({context: core, getRouteTable: () => this.#table});
@@ -105,7 +105,7 @@
 	/** Listens for callers and subscribes to the control hosts. */
 	static async start(options: EntryHostOptions): Promise<Either.Either<Problem, EntryHost>> {
 		const host = new EntryHost(options);
-		const listening = await host.#gateway.listen(options.callers);
+		const listening = await host.#gateway.listen(options.callerAddress);
 		if (Either.isLeft(listening)) {
 			host.close();
 			return listening;
@@ -120,7 +120,7 @@
 	}
 
 	/** Takes what may change while it runs: control hosts to know, and the budget of repeats. */
-	applySettings({seeds, budget}: Pick<EntryHostOptions, 'seeds' | 'budget'>): void {
+	applySettings({seeds, retryBudget: budget}: Pick<EntryHostOptions, 'seeds' | 'retryBudget'>): void {
 		this.#subscription.addSeeds(seeds);
 		this.#budget.updateLimits(budget);
 	}
@@ -137,10 +137,10 @@
 		this.#isStopping = true;
 		this.#logger.info('Stops: not ready any more.', {active: this.#gateway.activeCount});
 		this.#gateway.startDraining();
-		await pause(Math.min(NOT_READY_MS, graceMs / 2));
+		await sleep(Math.min(NOT_READY_MS, graceMs / 2));
 		this.#gateway.stopAccepting();
 		while (this.#gateway.activeCount > 0 && clock.monotonicMs() - startedMs < graceMs - STOP_MARGIN_MS) {
-			await pause(POLL_MS);
+			await sleep(POLL_MS);
 		}
 
 		this.#logger.info('Stopped.', {active: this.#gateway.activeCount});
@@ -172,7 +172,7 @@
 
 	#apply(bytes: Uint8Array, version: number, control: string): void {
 		const text = inflatePublication(bytes);
-		const catalogue = Either.isLeft(text) ? text : this.#options.dialect.parseRoutingConfig(text.right);
+		const catalogue = Either.isLeft(text) ? text : this.#options.protocol.parseRoutingConfig(text.right);
 		if (Either.isLeft(catalogue)) {
 			this.#logger.error(`Publication ${version} cannot be read.`, {version, control, reason: catalogue.left.text});
 			return;
--- a/src/entry/operator.ts
+++ b/src/entry/operator.ts
@@ -10,46 +10,46 @@
 import {request as httpRequest} from 'undici';
 import type {Clock} from '../base/clock.js';
 import {createProblem, findProblemName, type Problem} from '../base/problem.js';
-import {formatFaults, validate} from '../base/validate.js';
+import {formatValidationErrors, validate} from '../base/validate.js';
 import type {ControlClient} from '../control/client.js';
 import type {
-	Members, Peer, Proposed, Resource, ViewUpdate,
+	MembersRequest, Peer, ProposeReply, Resource, ViewUpdate,
 } from '../generated/types.js';
 import type {Directory} from '../membership/directory.js';
 import {
 	parseJson, readHeader, sendJson, sendProblem, type Exchange,
 } from './exchange.js';
-import {formatHost} from './engine.js';
-import type {Journal} from './journal.js';
-import type {View, ViewTask} from './view.js';
+import {formatUrlHost} from './engine.js';
+import type {RequestJournal} from './journal.js';
+import type {ResourceView, ViewTask} from './view.js';
 
-export type OperatorOptions = {
+export type OperatorHandlerOptions = {
 	readonly host: string;
 	readonly client: ControlClient;
-	readonly view: View;
+	readonly view: ResourceView;
 	readonly viewTask: ViewTask;
 	readonly directory: Directory;
-	readonly journal: Journal;
+	readonly journal: RequestJournal;
 	readonly clock: Clock;
 };
 
 /** Path under which the API stands. */
-export const OPERATOR_PREFIX = '/api/v1/';
+export const OPERATOR_PATH_PREFIX = '/api/v1/';
 const KINDS = new Set(['service', 'model', 'engine', 'team', 'policy', 'change']);
 const WATCH_HEARTBEAT_MS = 5000;
 const FORWARD_TIMEOUT_MS = 2000;
 
 /** Serves operators. */
 export class OperatorHandler {
-	readonly #options: OperatorOptions;
+	readonly #options: OperatorHandlerOptions;
 
-	constructor(options: OperatorOptions) {
+	constructor(options: OperatorHandlerOptions) {
 		this.#options = options;
 	}
 
 	/** Serves one call to its end. */
 	async handle(exchange: Exchange, body: Buffer): Promise<void> {
-		const [collection, kind, name] = exchange.path.slice(OPERATOR_PREFIX.length).split('/').map(part => decodeURIComponent(part));
+		const [collection, kind, name] = exchange.path.slice(OPERATOR_PATH_PREFIX.length).split('/').map(part => decodeURIComponent(part));
 		switch (collection) {
 			case 'resources': {
 				await this.#handleResources(exchange, body, {kind, name});
@@ -113,7 +113,7 @@
 	}
 
 	async #read(exchange: Exchange, kind: string | undefined, name: string | undefined): Promise<void> {
-		const listing = await this.#options.client.read(-1)();
+		const listing = await this.#options.client.readResources(-1)();
 		if (Either.isLeft(listing)) {
 			sendProblem(exchange, listing.left);
 			return;
@@ -144,7 +144,7 @@
 		const {seen = -1, specification} = parsed.right;
 		const checked = validate('Specification', specification);
 		if (Either.isLeft(checked)) {
-			sendProblem(exchange, createProblem('resourceInvalid', formatFaults(checked.left)));
+			sendProblem(exchange, createProblem('resourceInvalid', formatValidationErrors(checked.left)));
 			return;
 		}
 
@@ -203,7 +203,7 @@
 		response.once('close', ring);
 		while (!response.destroyed) {
 			const wake = once(alarm, 'ring');
-			const listing = await this.#options.client.read(from)();
+			const listing = await this.#options.client.readResources(from)();
 			const update = Either.isRight(listing) ? listing.right.view : undefined;
 			if (update && (update.version > from || !response.headersSent)) {
 				from = Math.max(from, update.version);
@@ -228,7 +228,7 @@
 	}
 
 	async #handleMembers(exchange: Exchange, body: Buffer): Promise<void> {
-		let message: Omit<Members, 'id'> = {type: 'members', action: 'list'};
+		let message: Omit<MembersRequest, 'id'> = {type: 'members', action: 'list'};
 		if (exchange.method === 'POST') {
 			const parsed = parseJson(body);
 			if (Either.isLeft(parsed)) {
@@ -238,17 +238,17 @@
 
 			const checked = validate('Message', {...parsed.right, type: 'members', id: 0});
 			if (Either.isLeft(checked)) {
-				sendProblem(exchange, createProblem('badRequest', formatFaults(checked.left)));
+				sendProblem(exchange, createProblem('badRequest', formatValidationErrors(checked.left)));
 				return;
 			}
 
-			const {action, member, replica} = parsed.right as {action: Members['action']; member?: Peer; replica?: string};
+			const {action, member, replica} = parsed.right as {action: MembersRequest['action']; member?: Peer; replica?: string};
 			message = {
 				type: 'members', action, ...(member ? {member} : {}), ...(replica === undefined ? {} : {replica}),
 			};
 		}
 
-		const reply = await this.#options.client.members(message)();
+		const reply = await this.#options.client.manageMembers(message)();
 		if (Either.isLeft(reply)) {
 			sendProblem(exchange, reply.left);
 			return;
@@ -261,7 +261,7 @@
 	/** Tells the story of a request or a planned change. */
 	async #explain(exchange: Exchange, subject: string): Promise<void> {
 		const {journal} = this.#options;
-		const entry = journal.entryOf(subject);
+		const entry = journal.findEntry(subject);
 		if (entry) {
 			sendJson(exchange, 200, {
 				subject, title: entry.title, outcome: entry.outcome, startedAt: entry.startedAt, steps: entry.steps,
@@ -291,7 +291,7 @@
 			return undefined;
 		}
 
-		const url = `http://${formatHost(fact.http.address)}:${fact.http.port}${OPERATOR_PREFIX}explain/${encodeURIComponent(subject)}?forwarded=1`;
+		const url = `http://${formatUrlHost(fact.http.address)}:${fact.http.port}${OPERATOR_PATH_PREFIX}explain/${encodeURIComponent(subject)}?forwarded=1`;
 		const authorization = readHeader(exchange.request, 'authorization');
 		try {
 			const {statusCode, body} = await httpRequest(url, {
@@ -314,7 +314,7 @@
 	response.write(`${JSON.stringify(update)}\n`);
 }
 
-function sendOutcome(exchange: Exchange, proposed: Either.Either<Problem, Proposed>): void {
+function sendOutcome(exchange: Exchange, proposed: Either.Either<Problem, ProposeReply>): void {
 	if (Either.isLeft(proposed)) {
 		sendProblem(exchange, proposed.left);
 		return;
@@ -325,9 +325,9 @@
 		const problem = {...createProblem(findProblemName(outcome.code)), text: outcome.text};
 		sendJson(exchange, problem.status, {
 			error: {
-				message: outcome.text, code: outcome.code, name: problem.name, outcome: problem.verdict, version: outcome.version,
+				message: outcome.text, code: outcome.code, name: problem.name, outcome: problem.outcome, version: outcome.version,
 			},
-		}, {'carawayhoist-code': String(outcome.code), 'carawayhoist-outcome': problem.verdict});
+		}, {'carawayhoist-code': String(outcome.code), 'carawayhoist-outcome': problem.outcome});
 		return;
 	}
 
--- a/test/layers.test.ts
+++ b/test/layers.test.ts
@@ -14,7 +14,7 @@
 	'control/state',
 	'control/ledger',
 	'control/controller',
-	'control/members',
+	'control/reconfiguration',
 	'control/bootstrap',
 	'membership/directory',
 	'routing/choice',
@@ -31,9 +31,9 @@
 	'routing/planner',
 	'routing/budget',
 	'routing/routes',
-	'control/repairs',
+	'control/reconfigurator',
 	'membership/registry',
-	'membership/roster',
+	'membership/discovery',
 	'serving/events',
 ];
 const ALLOWED_IN_CORES = new Set(['node:zlib', 'node:buffer']);
