--- a/src/serving/protocol.ts
+++ b/src/serving/protocol.ts
@@ -52,7 +52,7 @@
 	/** KV cache from which to decode. */
 	readonly kvCache?: KvCacheHandle;
 	/** Address of a server from which to fetch the KV cache of shared prompt parts. */
-	readonly kvSource?: Address;
+	readonly kvFetchSource?: Address;
 	readonly lastEventId?: string;
 	/** 0 is the most urgent. */
 	readonly priority?: number;
--- a/src/serving/streamcall.ts
+++ b/src/serving/streamcall.ts
@@ -56,7 +56,7 @@
 	#runCount = 0;
 	#hasFirstEvent = false;
 	#mayHaveRun = false;
-	#kvSource: Announcement | undefined;
+	#kvFetchSource: Announcement | undefined;
 
 	constructor(context: ServingContext, call: Call, prompt: Prompt) {
 		this.#context = context;
@@ -115,8 +115,8 @@
 			let {decision, by} = await this.#context.placement.place(this.#createRequest());
 			logFields.placedBy = by;
 			logFields.placedMs = this.#elapsedMs();
-			this.#kvSource = decision.type === 'assignment' && decision.source !== undefined ? this.#context.findServer(decision.source) : undefined;
-			logFields.source = this.#kvSource?.server;
+			this.#kvFetchSource = decision.type === 'assignment' && decision.source !== undefined ? this.#context.findServer(decision.source) : undefined;
+			logFields.source = this.#kvFetchSource?.server;
 			if (decision.type === 'assignment') {
 				logFields.cachedTokens = decision.cachedTokens;
 				logFields.expectedMs = decision.expectedMs;
@@ -201,7 +201,7 @@
 				resolve({type: 'failed'});
 			});
 			this.#exchange = sendAttempt(context, this.#call, {
-				server, phase: 'prefill', deadlineMs: this.#remainingMs(), priority: this.#priority(), kvSource: this.#kvSource,
+				server, phase: 'prefill', deadlineMs: this.#remainingMs(), priority: this.#priority(), kvFetchSource: this.#kvFetchSource,
 			}, {
 				onHead: (status, headers) => {
 					head = context.protocol.parseResponse(status, headers);
@@ -261,7 +261,7 @@
 				kvCache,
 				lastEventId,
 				priority: this.#priority(),
-				kvSource: kvCache ? undefined : this.#kvSource,
+				kvFetchSource: kvCache ? undefined : this.#kvFetchSource,
 			}, {
 				onHead: (status, headers) => {
 					head = context.protocol.parseResponse(status, headers);
