--- a/src/consensus/configuration.ts
+++ b/src/consensus/configuration.ts
@@ -57,11 +57,11 @@
  * quorumValue({voters: [a, b, c], outgoing: [], learners: []}, replica => matchIndex[replica]);
  * ```
  */
-export function findQuorumValue(configuration: Configuration, valueOf: (replica: string) => number): number {
-	const value = majorityValue(configuration.voters, valueOf);
+export function findQuorumValue(configuration: Configuration, getValue: (replica: string) => number): number {
+	const value = findMajorityValue(configuration.voters, getValue);
 	return configuration.outgoing.length === 0
 		? value
-		: Math.min(value, majorityValue(configuration.outgoing, valueOf));
+		: Math.min(value, findMajorityValue(configuration.outgoing, getValue));
 }
 
 function hasMajority(members: readonly Member[], predicate: (replica: string) => boolean): boolean {
@@ -69,7 +69,7 @@
 	return count * 2 > members.length;
 }
 
-function majorityValue(members: readonly Member[], valueOf: (replica: string) => number): number {
-	const values = members.map(member => valueOf(member.replica)).toSorted((a, b) => b - a);
+function findMajorityValue(members: readonly Member[], getValue: (replica: string) => number): number {
+	const values = members.map(member => getValue(member.replica)).toSorted((a, b) => b - a);
 	return values[Math.floor(members.length / 2)] ?? Number.NEGATIVE_INFINITY;
 }
--- a/src/consensus/node.ts
+++ b/src/consensus/node.ts
@@ -55,12 +55,12 @@
 	readonly onApplied: () => void;
 };
 
-type Pending = {
+type PendingProposal = {
 	readonly term: number;
 	readonly settle: (result: Either.Either<Problem, CommitResult>) => void;
 };
 
-type Queued = {
+type QueuedProposal = {
 	readonly data: Uint8Array;
 	readonly settle: (result: Either.Either<Problem, CommitResult>) => void;
 };
@@ -73,36 +73,36 @@
 export class ConsensusNode {
 	readonly #options: NodeOptions;
 	readonly #replica: Replica;
-	readonly #pool: ConnectionPool;
-	readonly #inbound = new Map<string, Connection>();
-	readonly #heardMs = new Map<string, number>();
-	readonly #resetMs = new Map<string, number>();
-	readonly #pending = new Map<number, Pending>();
-	readonly #reads = new Map<number, (result: Either.Either<Problem, number>) => void>();
+	readonly #connectionPool: ConnectionPool;
+	readonly #inboundConnections = new Map<string, Connection>();
+	readonly #lastMessageMs = new Map<string, number>();
+	readonly #lastResetMs = new Map<string, number>();
+	readonly #pendingProposals = new Map<number, PendingProposal>();
+	readonly #pendingReads = new Map<number, (result: Either.Either<Problem, number>) => void>();
 	readonly #timer: NodeJS.Timeout;
-	#queue: Queued[] = [];
-	#nextRead = 1;
+	#proposalQueue: QueuedProposal[] = [];
+	#nextReadId = 1;
 	#appliedIndex: number;
 	#isClosed = false;
 
 	constructor(options: NodeOptions) {
 		this.#options = options;
-		const {persistentState: image, stateMachine} = options;
+		const {persistentState, stateMachine} = options;
 		this.#replica = new Replica({
 			replica: options.replica,
-			hard: image.hard,
-			snapshot: image.snapshot,
-			entries: image.entries,
+			hard: persistentState.hard,
+			snapshot: persistentState.snapshot,
+			entries: persistentState.entries,
 			nowMs: options.clock.monotonicMs(),
 			random: options.random,
 			timing: options.timing,
 		});
-		this.#appliedIndex = image.snapshot.index;
-		if (image.snapshot.data.length > 0) {
-			stateMachine.restore(image.snapshot.data);
+		this.#appliedIndex = persistentState.snapshot.index;
+		if (persistentState.snapshot.data.length > 0) {
+			stateMachine.restore(persistentState.snapshot.data);
 		}
 
-		this.#pool = new ConnectionPool(message => {
+		this.#connectionPool = new ConnectionPool(message => {
 			if (message.type === 'consensus') {
 				this.#onMessage(message);
 			}
@@ -137,7 +137,7 @@
 			return;
 		}
 
-		this.#inbound.set(message.from, connection);
+		this.#inboundConnections.set(message.from, connection);
 		this.#step({type: 'message', from: message.from, body: message.body});
 	}
 
@@ -168,25 +168,25 @@
 				resolve(result);
 			};
 
-			if (this.#queue.length === 0) {
+			if (this.#proposalQueue.length === 0) {
 				setImmediate(() => {
-					this.#flushQueue();
+					this.#flushProposals();
 				});
 			}
 
-			this.#queue.push({data, settle});
+			this.#proposalQueue.push({data, settle});
 		});
 	}
 
 	/** Waits until this replica is known to lead and to have applied all that was committed before the call. */
 	async awaitReadIndex(): Promise<Either.Either<Problem, number>> {
 		return new Promise(resolve => {
-			const id = this.#nextRead++;
+			const id = this.#nextReadId++;
 			const timer = setTimeout(() => {
-				this.#reads.delete(id);
+				this.#pendingReads.delete(id);
 				resolve(Either.left(createProblem('noQuorum')));
 			}, PROPOSAL_TIMEOUT_MS);
-			this.#reads.set(id, result => {
+			this.#pendingReads.set(id, result => {
 				clearTimeout(timer);
 				resolve(result);
 			});
@@ -206,18 +206,18 @@
 	async close(): Promise<void> {
 		this.#isClosed = true;
 		clearInterval(this.#timer);
-		this.#pool.close();
-		for (const pending of this.#pending.values()) {
+		this.#connectionPool.close();
+		for (const pending of this.#pendingProposals.values()) {
 			pending.settle(Either.left(createProblem('proposalUnknown')));
 		}
 
 		await this.#options.storage.close();
 	}
 
-	#flushQueue(): void {
-		const queue = this.#queue;
-		this.#queue = [];
-		const first = this.#replica.lastIndex + 1;
+	#flushProposals(): void {
+		const queue = this.#proposalQueue;
+		this.#proposalQueue = [];
+		const firstIndex = this.#replica.lastIndex + 1;
 		if (this.#replica.role !== 'leader' || this.#isClosed) {
 			for (const {settle} of queue) {
 				settle(Either.left(createProblem('notLeader')));
@@ -227,18 +227,18 @@
 		}
 
 		for (const [offset, {settle}] of queue.entries()) {
-			this.#pending.set(first + offset, {term: this.#replica.term, settle});
+			this.#pendingProposals.set(firstIndex + offset, {term: this.#replica.term, settle});
 		}
 
 		const data = queue.map(entry => entry.data);
-		for (const group of this.#options.batchProposals === false ? data.map(one => [one]) : [data]) {
+		for (const group of this.#options.batchProposals === false ? data.map(command => [command]) : [data]) {
 			this.#step({type: 'propose', data: group});
 		}
 	}
 
 	#onMessage(message: ConsensusMessage): void {
 		if (message.to === this.#options.replica && !this.#isClosed) {
-			this.#heardMs.set(message.from, this.#options.clock.monotonicMs());
+			this.#lastMessageMs.set(message.from, this.#options.clock.monotonicMs());
 			this.#step({type: 'message', from: message.from, body: message.body});
 		}
 	}
@@ -249,13 +249,13 @@
 		}
 
 		for (const effect of this.#replica.step(event, this.#options.clock.monotonicMs())) {
-			this.#run(effect);
+			this.#runEffect(effect);
 		}
 
-		this.#compactIfLong();
+		this.#compactIfNeeded();
 	}
 
-	#run(effect: ReplicaEffect): void {
+	#runEffect(effect: ReplicaEffect): void {
 		switch (effect.type) {
 			case 'write': {
 				this.#write(effect.sequence, effect.records);
@@ -268,7 +268,7 @@
 			}
 
 			case 'commit': {
-				this.#apply(effect.entries);
+				this.#applyEntries(effect.entries);
 				break;
 			}
 
@@ -280,7 +280,7 @@
 			}
 
 			case 'role': {
-				this.#onRole(effect);
+				this.#onRoleChange(effect);
 				break;
 			}
 
@@ -304,29 +304,29 @@
 		const message: ConsensusMessage = {
 			type: 'consensus', from: this.#options.replica, to: to.replica, body,
 		};
-		const inbound = this.#inbound.get(to.replica);
+		const inbound = this.#inboundConnections.get(to.replica);
 		if (body.type.endsWith('-reply')) {
 			inbound?.send(message);
 			return;
 		}
 
-		this.#resetIfSilent(to);
-		this.#pool.send(to, message);
+		this.#resetIfUnresponsive(to);
+		this.#connectionPool.send(to, message);
 	}
 
 	/** A connection on which requests get no replies may have gone silent for good; a new one may work. */
-	#resetIfSilent(member: Member): void {
+	#resetIfUnresponsive(member: Member): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		const limitMs = this.#replica.timing.electionMs;
-		const heardMs = this.#heardMs.get(member.replica) ?? Number.NEGATIVE_INFINITY;
-		const resetMs = this.#resetMs.get(member.replica) ?? Number.NEGATIVE_INFINITY;
-		if (nowMs - Math.max(heardMs, resetMs) > limitMs) {
-			this.#resetMs.set(member.replica, nowMs);
-			this.#pool.reset(member);
+		const lastMessageMs = this.#lastMessageMs.get(member.replica) ?? Number.NEGATIVE_INFINITY;
+		const lastResetMs = this.#lastResetMs.get(member.replica) ?? Number.NEGATIVE_INFINITY;
+		if (nowMs - Math.max(lastMessageMs, lastResetMs) > limitMs) {
+			this.#lastResetMs.set(member.replica, nowMs);
+			this.#connectionPool.reset(member);
 		}
 	}
 
-	#apply(entries: readonly Entry[]): void {
+	#applyEntries(entries: readonly Entry[]): void {
 		for (const entry of entries) {
 			const outcome = entry.type === 'command' ? this.#options.stateMachine.apply(entry) : undefined;
 			if (entry.type !== 'command') {
@@ -341,8 +341,8 @@
 	}
 
 	#settleProposal(entry: Entry, outcome: unknown): void {
-		const pending = this.#pending.get(entry.index);
-		this.#pending.delete(entry.index);
+		const pending = this.#pendingProposals.get(entry.index);
+		this.#pendingProposals.delete(entry.index);
 		// Another leader's entry took the place of ours, which can thus never be committed.
 		pending?.settle(pending.term === entry.term
 			? Either.right({index: entry.index, outcome})
@@ -350,18 +350,18 @@
 	}
 
 	#settleRead(id: number, result: Either.Either<Problem, number>): void {
-		const settle = this.#reads.get(id);
-		this.#reads.delete(id);
+		const settle = this.#pendingReads.get(id);
+		this.#pendingReads.delete(id);
 		settle?.(result);
 	}
 
-	#onRole(effect: Leadership): void {
+	#onRoleChange(effect: Leadership): void {
 		const {role, term, leader} = effect;
 		this.#options.logger.info(`Is ${role} in term ${term}.`, {role, term, leader});
 		this.#options.onLeadershipChange({role, term, leader});
 	}
 
-	#compactIfLong(): void {
+	#compactIfNeeded(): void {
 		const limit = this.#options.compactAfterEntries ?? DEFAULT_COMPACT_AFTER_ENTRIES;
 		if (this.#appliedIndex - this.#replica.snapshotIndex >= limit) {
 			this.#step({type: 'compact', index: this.#appliedIndex, data: this.#options.stateMachine.createSnapshot()});
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -93,7 +93,7 @@
 
 const DEFAULT_ENTRIES_PER_APPEND = 512;
 const INSTALL_RETRY_MS = 2000;
-const NOBODY = '';
+const NO_REPLICA = '';
 
 /** The step machine of one replica. */
 export class Replica {
@@ -106,28 +106,28 @@
 	#term: number;
 	#vote: string;
 	#role: ReplicaRole = REPLICA_ROLES.follower;
-	#leader = NOBODY;
+	#leader = NO_REPLICA;
 	#commitIndex: number;
 	#configuration: Configuration;
 	#configurationIndex: number;
 	#electionDeadlineMs = 0;
-	#quietUntilMs: number;
+	#denyVotesUntilMs: number;
 	#heartbeatDueMs = 0;
 	#electedMs = 0;
-	#ownVoteSequence = Number.POSITIVE_INFINITY;
-	#preVoting = false;
+	#selfVoteSequence = Number.POSITIVE_INFINITY;
+	#isPreVoting = false;
 	#votes = new Set<string>();
 	#peers = new Map<string, PeerProgress>();
 	#round = 0;
 	#roundSentMs = new Map<number, number>();
-	#reads: PendingRead[] = [];
+	#pendingReads: PendingRead[] = [];
 	/** When leadership was handed over; infinite if it was not. */
-	#handedOverMs = Number.POSITIVE_INFINITY;
+	#transferStartedMs = Number.POSITIVE_INFINITY;
 	#writeSequence = 0;
 	#syncedSequence = 0;
 	#syncedIndex: number;
 	readonly #pendingWrites: Array<{sequence: number; lastIndex: number}> = [];
-	#held: Array<{sequence: number; effect: ReplicaEffect}> = [];
+	#deferredSends: Array<{sequence: number; effect: ReplicaEffect}> = [];
 	#effects: ReplicaEffect[] = [];
 
 	constructor(options: ReplicaOptions) {
@@ -145,8 +145,8 @@
 		this.#configuration = configuration;
 		this.#configurationIndex = index;
 		// A restarted replica may have promised a leader its lease and not remember it.
-		this.#quietUntilMs = options.nowMs + this.timing.electionMs;
-		this.#resetElection(options.nowMs);
+		this.#denyVotesUntilMs = options.nowMs + this.timing.electionMs;
+		this.#resetElectionTimer(options.nowMs);
 	}
 
 	get role(): ReplicaRole {
@@ -196,7 +196,7 @@
 	hasQuorumContact(nowMs: number): boolean {
 		return this.#role === REPLICA_ROLES.leader
 			? this.getLeaseExpiryMs(nowMs) > nowMs
-			: this.#leader !== NOBODY && nowMs < this.#quietUntilMs;
+			: this.#leader !== NO_REPLICA && nowMs < this.#denyVotesUntilMs;
 	}
 
 	/** Term of an entry that is still in the log. */
@@ -206,11 +206,11 @@
 
 	/** Monotonic time until which no other leader can exist; in the past without authority. */
 	getLeaseExpiryMs(nowMs: number): number {
-		if (this.#role !== REPLICA_ROLES.leader || this.#handedOverMs <= nowMs) {
+		if (this.#role !== REPLICA_ROLES.leader || this.#transferStartedMs <= nowMs) {
 			return Number.NEGATIVE_INFINITY;
 		}
 
-		const confirmedMs = findQuorumValue(this.#configuration, replica => this.#confirmedMs(replica, nowMs));
+		const confirmedMs = findQuorumValue(this.#configuration, replica => this.#getConfirmedMs(replica, nowMs));
 		return confirmedMs + (this.timing.electionMs * (1 - this.timing.clockDrift));
 	}
 
@@ -230,11 +230,11 @@
 	/** Takes one event and returns what must be done, in order. */
 	step(event: ReplicaEvent, nowMs: number): ReplicaEffect[] {
 		this.#effects = [];
-		this.#handle(event, nowMs);
+		this.#handleEvent(event, nowMs);
 		return this.#effects;
 	}
 
-	#handle(event: ReplicaEvent, nowMs: number): void {
+	#handleEvent(event: ReplicaEvent, nowMs: number): void {
 		switch (event.type) {
 			case 'tick': {
 				this.#tick(nowMs);
@@ -272,7 +272,7 @@
 			}
 
 			case 'transfer-leadership': {
-				this.#handOver(nowMs);
+				this.#transferLeadership(nowMs);
 				break;
 			}
 		}
@@ -290,12 +290,12 @@
 	}
 
 	#tickLeader(nowMs: number): void {
-		const heardMs = findQuorumValue(this.#configuration, replica => this.#confirmedMs(replica, nowMs));
-		const isCutOff = nowMs - Math.max(heardMs, this.#electedMs) >= this.timing.electionMs;
+		const quorumContactMs = findQuorumValue(this.#configuration, replica => this.#getConfirmedMs(replica, nowMs));
+		const hasLostQuorum = nowMs - Math.max(quorumContactMs, this.#electedMs) >= this.timing.electionMs;
 		// A hand-over that came to nothing leaves a leader without a lease: an election must follow.
-		const isHandOverOver = nowMs - this.#handedOverMs >= this.timing.electionMs;
-		if (isCutOff || isHandOverOver) {
-			this.#becomeFollower(this.#term, NOBODY, nowMs);
+		const isTransferTimedOut = nowMs - this.#transferStartedMs >= this.timing.electionMs;
+		if (hasLostQuorum || isTransferTimedOut) {
+			this.#becomeFollower(this.#term, NO_REPLICA, nowMs);
 			return;
 		}
 
@@ -305,14 +305,14 @@
 	}
 
 	#startElection(nowMs: number, options: {preVote: boolean; transfer: boolean}): void {
-		this.#resetElection(nowMs);
-		this.#leader = NOBODY;
-		this.#preVoting = options.preVote;
+		this.#resetElectionTimer(nowMs);
+		this.#leader = NO_REPLICA;
+		this.#isPreVoting = options.preVote;
 		this.#votes = new Set([this.id]);
 		if (!options.preVote) {
 			this.#setTerm(this.#term + 1, this.id);
-			this.#setRole(REPLICA_ROLES.candidate, NOBODY);
-			this.#holdOwnVote();
+			this.#setRole(REPLICA_ROLES.candidate, NO_REPLICA);
+			this.#deferSelfVote();
 		}
 
 		const request: VoteRequest = {
@@ -323,9 +323,9 @@
 			lastIndex: this.#log.lastIndex,
 			lastTerm: this.#log.lastTerm,
 		};
-		for (const member of this.#others()) {
+		for (const member of this.#listPeers()) {
 			if (isVoter(this.#configuration, member.replica)) {
-				this.#sendDurable(member, request);
+				this.#sendAfterSync(member, request);
 			}
 		}
 
@@ -333,10 +333,10 @@
 	}
 
 	/** A replica's vote for itself counts like any other: once it is on disk. */
-	#holdOwnVote(): void {
+	#deferSelfVote(): void {
 		if (this.#safeguards.syncBeforeReply) {
 			this.#votes.clear();
-			this.#ownVoteSequence = this.#writeSequence;
+			this.#selfVoteSequence = this.#writeSequence;
 		}
 	}
 
@@ -345,7 +345,7 @@
 			return;
 		}
 
-		if (this.#preVoting) {
+		if (this.#isPreVoting) {
 			this.#startElection(nowMs, {preVote: false, transfer: false});
 			return;
 		}
@@ -357,24 +357,24 @@
 
 	#becomeLeader(nowMs: number): void {
 		this.#peers = new Map();
-		this.#reads = [];
-		this.#handedOverMs = Number.POSITIVE_INFINITY;
+		this.#pendingReads = [];
+		this.#transferStartedMs = Number.POSITIVE_INFINITY;
 		this.#electedMs = nowMs;
 		this.#round = 0;
 		this.#roundSentMs = new Map();
 		this.#setRole(REPLICA_ROLES.leader, this.id);
-		this.#appendOwn([{type: 'noop', index: this.#log.lastIndex + 1, term: this.#term}]);
+		this.#appendAsLeader([{type: 'noop', index: this.#log.lastIndex + 1, term: this.#term}]);
 		this.#broadcast(nowMs);
 	}
 
 	#becomeFollower(term: number, leader: string, nowMs: number): void {
 		if (term > this.#term) {
-			this.#setTerm(term, NOBODY);
+			this.#setTerm(term, NO_REPLICA);
 		}
 
 		this.#refuseReads();
-		this.#preVoting = false;
-		this.#resetElection(nowMs);
+		this.#isPreVoting = false;
+		this.#resetElectionTimer(nowMs);
 		this.#setRole(REPLICA_ROLES.follower, leader);
 	}
 
@@ -387,7 +387,7 @@
 		// A granted pre-vote carries the term it asks for, which nobody has reached yet.
 		const isPreVoteGrant = body.type === 'vote-reply' && body.preVote && body.granted;
 		if (body.term > this.#term && !isPreVoteGrant) {
-			this.#becomeFollower(body.term, NOBODY, nowMs);
+			this.#becomeFollower(body.term, NO_REPLICA, nowMs);
 		}
 
 		switch (body.type) {
@@ -427,39 +427,39 @@
 			return;
 		}
 
-		const leaseHolds = this.#safeguards.respectLease && nowMs < this.#quietUntilMs && !request.transfer;
-		const leads = this.#role === REPLICA_ROLES.leader && request.term <= this.#term + 1 && request.preVote;
-		if (leaseHolds || leads) {
-			this.#sendDurable(member, {
+		const leaseHolds = this.#safeguards.respectLease && nowMs < this.#denyVotesUntilMs && !request.transfer;
+		const isActiveLeader = this.#role === REPLICA_ROLES.leader && request.term <= this.#term + 1 && request.preVote;
+		if (leaseHolds || isActiveLeader) {
+			this.#sendAfterSync(member, {
 				type: 'vote-reply', term: this.#term, preVote: request.preVote, granted: false,
 			});
 			return;
 		}
 
 		if (!request.preVote && request.term > this.#term) {
-			this.#becomeFollower(request.term, NOBODY, nowMs);
+			this.#becomeFollower(request.term, NO_REPLICA, nowMs);
 		}
 
 		const isCurrent = request.preVote ? request.term > this.#term : request.term === this.#term;
-		const isFree = request.preVote || this.#vote === NOBODY || this.#vote === from;
+		const isVoteAvailable = request.preVote || this.#vote === NO_REPLICA || this.#vote === from;
 		const isUpToDate = request.lastTerm > this.#log.lastTerm
 			|| (request.lastTerm === this.#log.lastTerm && request.lastIndex >= this.#log.lastIndex);
-		const granted = isCurrent && isFree && isUpToDate;
+		const granted = isCurrent && isVoteAvailable && isUpToDate;
 		if (granted && !request.preVote) {
 			this.#setTerm(this.#term, from);
-			this.#resetElection(nowMs);
+			this.#resetElectionTimer(nowMs);
 		}
 
 		const term = granted ? request.term : this.#term;
-		this.#sendDurable(member, {
+		this.#sendAfterSync(member, {
 			type: 'vote-reply', term, preVote: request.preVote, granted,
 		});
 	}
 
 	#onVoteReply(from: string, reply: VoteReply, nowMs: number): void {
 		const expectedTerm = reply.preVote ? this.#term + 1 : this.#term;
-		const isExpected = reply.preVote === this.#preVoting && (this.#preVoting || this.#role === REPLICA_ROLES.candidate);
-		if (!reply.granted || !isExpected || reply.term !== expectedTerm) {
+		const isCurrentElection = reply.preVote === this.#isPreVoting && (this.#isPreVoting || this.#role === REPLICA_ROLES.candidate);
+		if (!reply.granted || !isCurrentElection || reply.term !== expectedTerm) {
 			return;
 		}
 
@@ -475,25 +475,25 @@
 			type: 'append-reply', term: this.#term, round: request.round, success, matchIndex,
 		});
 		if (request.term < this.#term) {
-			this.#sendDurable(member, reply(false, 0));
+			this.#sendAfterSync(member, reply(false, 0));
 			return;
 		}
 
-		this.#follow(from, nowMs);
+		this.#followLeader(from, nowMs);
 		if (request.previousIndex < this.#log.snapshot.index) {
 			// What lies before the snapshot is committed, thus equal.
 			const skipped = this.#log.snapshot.index - request.previousIndex;
-			this.#appendFrom(request.entries.slice(skipped));
+			this.#appendNewEntries(request.entries.slice(skipped));
 		} else if (this.#safeguards.checkLogMatching && this.#log.getTerm(request.previousIndex) !== request.previousTerm) {
-			this.#sendDurable(member, reply(false, this.#findRetryIndex(request.previousIndex)));
+			this.#sendAfterSync(member, reply(false, this.#findRetryIndex(request.previousIndex)));
 			return;
 		} else {
-			this.#appendFrom(request.entries);
+			this.#appendNewEntries(request.entries);
 		}
 
 		const matchIndex = Math.max(request.previousIndex + request.entries.length, this.#log.snapshot.index);
 		this.#advanceCommit(Math.min(request.commitIndex, matchIndex));
-		this.#sendDurable(member, reply(true, matchIndex));
+		this.#sendAfterSync(member, reply(true, matchIndex));
 	}
 
 	#onInstallRequest(from: string, request: InstallRequest, nowMs: number): void {
@@ -501,53 +501,53 @@
 			replica: from, host: '', address: '', port: 0,
 		};
 		if (request.term < this.#term) {
-			this.#sendDurable(member, {
+			this.#sendAfterSync(member, {
 				type: 'append-reply', term: this.#term, round: request.round, success: false, matchIndex: 0,
 			});
 			return;
 		}
 
-		this.#follow(from, nowMs);
+		this.#followLeader(from, nowMs);
 		const {snapshot} = request;
 		if (snapshot.index > this.#commitIndex) {
 			this.#log.compact(snapshot);
 			this.#commitIndex = snapshot.index;
-			this.#readConfiguration();
+			this.#updateConfiguration();
 			this.#write([{type: 'snapshot', snapshot}]);
 			this.#effects.push({type: 'restore', snapshot});
 		}
 
-		this.#sendDurable(member, {
+		this.#sendAfterSync(member, {
 			type: 'append-reply', term: this.#term, round: request.round, success: true, matchIndex: snapshot.index,
 		});
 	}
 
-	#follow(leader: string, nowMs: number): void {
-		this.#quietUntilMs = nowMs + this.timing.electionMs;
-		this.#resetElection(nowMs);
-		this.#preVoting = false;
+	#followLeader(leader: string, nowMs: number): void {
+		this.#denyVotesUntilMs = nowMs + this.timing.electionMs;
+		this.#resetElectionTimer(nowMs);
+		this.#isPreVoting = false;
 		if (this.#role !== REPLICA_ROLES.follower || this.#leader !== leader) {
 			this.#setRole(REPLICA_ROLES.follower, leader);
 		}
 	}
 
-	#appendFrom(entries: readonly Entry[]): void {
+	#appendNewEntries(entries: readonly Entry[]): void {
 		const start = entries.findIndex(entry => this.#log.getTerm(entry.index) !== entry.term);
 		if (start === -1) {
 			return;
 		}
 
-		const added = entries.slice(start);
-		const from = added[0]!.index;
+		const newEntries = entries.slice(start);
+		const from = newEntries[0]!.index;
 		const records: LogRecord[] = [];
 		if (from <= this.#log.lastIndex) {
 			this.#truncate(from);
 			records.push({type: 'truncate', from});
 		}
 
-		this.#log.append(added);
-		records.push({type: 'entries', entries: added});
-		this.#readConfiguration();
+		this.#log.append(newEntries);
+		records.push({type: 'entries', entries: newEntries});
+		this.#updateConfiguration();
 		this.#write(records);
 	}
 
@@ -579,7 +579,7 @@
 			return;
 		}
 
-		const peer = this.#peerOf(from);
+		const peer = this.#getPeerProgress(from);
 		peer.round = Math.max(peer.round, reply.round);
 		peer.confirmedMs = Math.max(peer.confirmedMs, this.#roundSentMs.get(reply.round) ?? Number.NEGATIVE_INFINITY);
 		if (reply.success) {
@@ -590,38 +590,38 @@
 			peer.nextIndex = Math.max(peer.matchIndex + 1, Math.min(reply.matchIndex + 1, peer.nextIndex - 1));
 		}
 
-		this.#answerReads();
-		this.#commitByQuorum(nowMs);
+		this.#completeReads();
+		this.#advanceCommitByQuorum(nowMs);
 		this.#leaveJointConfiguration(nowMs);
 		const member = this.#findMember(from);
-		const hasMore = peer.nextIndex <= this.#log.lastIndex;
-		if (member && this.#role === REPLICA_ROLES.leader && (!reply.success || hasMore)) {
+		const hasUnsentEntries = peer.nextIndex <= this.#log.lastIndex;
+		if (member && this.#role === REPLICA_ROLES.leader && (!reply.success || hasUnsentEntries)) {
 			this.#sendEntries(member, nowMs);
 		}
 	}
 
-	#commitByQuorum(nowMs: number): void {
-		const reached = findQuorumValue(this.#configuration, replica => this.#matchIndexOf(replica));
-		const isOwnTerm = this.#log.getTerm(reached) === this.#term || !this.#safeguards.commitOwnTermOnly;
-		if (reached <= this.#commitIndex || !isOwnTerm) {
+	#advanceCommitByQuorum(nowMs: number): void {
+		const quorumIndex = findQuorumValue(this.#configuration, replica => this.#getMatchIndex(replica));
+		const isOwnTerm = this.#log.getTerm(quorumIndex) === this.#term || !this.#safeguards.commitOwnTermOnly;
+		if (quorumIndex <= this.#commitIndex || !isOwnTerm) {
 			return;
 		}
 
-		this.#advanceCommit(reached);
+		this.#advanceCommit(quorumIndex);
 		this.#heartbeatDueMs = Math.min(this.#heartbeatDueMs, nowMs + (this.timing.heartbeatMs / 4));
 		if (this.isConfigurationCommitted && !isVoter(this.#configuration, this.id)) {
 			// The last message tells the others that the configuration without this replica is committed.
 			this.#broadcast(nowMs);
-			this.#becomeFollower(this.#term, NOBODY, nowMs);
+			this.#becomeFollower(this.#term, NO_REPLICA, nowMs);
 		}
 	}
 
 	/** Leaves a joint configuration once it is committed and every new voter holds it. */
 	#leaveJointConfiguration(nowMs: number): void {
 		const {voters, outgoing, learners} = this.#configuration;
-		const isHeld = voters.every(member => outgoing.some(old => old.replica === member.replica)
-			|| this.#matchIndexOf(member.replica) >= this.#configurationIndex);
-		if (this.#role === REPLICA_ROLES.leader && outgoing.length > 0 && this.isConfigurationCommitted && isHeld) {
+		const isReplicatedToNewVoters = voters.every(member => outgoing.some(previous => previous.replica === member.replica)
+			|| this.#getMatchIndex(member.replica) >= this.#configurationIndex);
+		if (this.#role === REPLICA_ROLES.leader && outgoing.length > 0 && this.isConfigurationCommitted && isReplicatedToNewVoters) {
 			this.#appendConfiguration({voters, outgoing: [], learners}, nowMs);
 		}
 	}
@@ -632,7 +632,7 @@
 		}
 
 		const first = this.#log.lastIndex + 1;
-		this.#appendOwn(data.map((bytes, offset) => ({
+		this.#appendAsLeader(data.map((bytes, offset) => ({
 			type: 'command', index: first + offset, term: this.#term, data: bytes,
 		})));
 		this.#broadcast(nowMs);
@@ -645,15 +645,15 @@
 	}
 
 	#appendConfiguration(configuration: Configuration, nowMs: number): void {
-		this.#appendOwn([{
+		this.#appendAsLeader([{
 			type: 'configuration', index: this.#log.lastIndex + 1, term: this.#term, configuration,
 		}]);
 		this.#broadcast(nowMs);
 	}
 
-	#appendOwn(entries: readonly Entry[]): void {
+	#appendAsLeader(entries: readonly Entry[]): void {
 		this.#log.append(entries);
-		this.#readConfiguration();
+		this.#updateConfiguration();
 		this.#write([{type: 'entries', entries}]);
 	}
 
@@ -668,26 +668,26 @@
 			return;
 		}
 
-		this.#reads.push({id, round: this.#round + 1, index: this.#commitIndex});
+		this.#pendingReads.push({id, round: this.#round + 1, index: this.#commitIndex});
 		this.#broadcast(nowMs);
-		this.#answerReads();
+		this.#completeReads();
 	}
 
-	#answerReads(): void {
-		const round = findQuorumValue(this.#configuration, replica => this.#confirmedRound(replica));
-		const ready = this.#reads.filter(read => read.round <= round);
-		this.#reads = this.#reads.filter(read => read.round > round);
+	#completeReads(): void {
+		const round = findQuorumValue(this.#configuration, replica => this.#getConfirmedRound(replica));
+		const ready = this.#pendingReads.filter(read => read.round <= round);
+		this.#pendingReads = this.#pendingReads.filter(read => read.round > round);
 		for (const {id, index} of ready) {
 			this.#effects.push({type: 'read', id, index});
 		}
 	}
 
 	#refuseReads(): void {
-		for (const {id} of this.#reads) {
+		for (const {id} of this.#pendingReads) {
 			this.#effects.push({type: 'read-refused', id});
 		}
 
-		this.#reads = [];
+		this.#pendingReads = [];
 	}
 
 	#onCompact(index: number, data: Uint8Array): void {
@@ -697,40 +697,40 @@
 		}
 
 		const snapshot: Snapshot = {
-			index, term, configuration: this.#configurationAt(index), data,
+			index, term, configuration: this.#getConfigurationAt(index), data,
 		};
 		this.#log.compact(snapshot);
 		this.#write([{type: 'snapshot', snapshot}]);
 	}
 
 	/** Hands leadership to the peer that is furthest ahead. */
-	#handOver(nowMs: number): void {
+	#transferLeadership(nowMs: number): void {
 		if (this.#role !== REPLICA_ROLES.leader) {
 			return;
 		}
 
-		const candidates = this.#others().filter(member => isVoter(this.#configuration, member.replica)
+		const candidates = this.#listPeers().filter(member => isVoter(this.#configuration, member.replica)
 			&& this.getProgress(member.replica, nowMs).alive);
-		candidates.sort((a, b) => this.#matchIndexOf(b.replica) - this.#matchIndexOf(a.replica));
-		const best = candidates[0];
-		if (best) {
+		candidates.sort((a, b) => this.#getMatchIndex(b.replica) - this.#getMatchIndex(a.replica));
+		const successor = candidates[0];
+		if (successor) {
 			// The successor does not wait for the lease to run out, so the lease ends here.
-			this.#handedOverMs = nowMs;
-			this.#effects.push({type: 'send', to: best, body: {type: 'timeout-now', term: this.#term}});
+			this.#transferStartedMs = nowMs;
+			this.#effects.push({type: 'send', to: successor, body: {type: 'timeout-now', term: this.#term}});
 		}
 	}
 
 	#broadcast(nowMs: number): void {
 		this.#round++;
 		this.#roundSentMs.set(this.#round, nowMs);
-		this.#forgetOldRounds(nowMs);
+		this.#removeOldRounds(nowMs);
 		this.#heartbeatDueMs = nowMs + this.timing.heartbeatMs;
-		for (const member of this.#others()) {
+		for (const member of this.#listPeers()) {
 			this.#sendEntries(member, nowMs);
 		}
 	}
 
-	#forgetOldRounds(nowMs: number): void {
+	#removeOldRounds(nowMs: number): void {
 		for (const [round, sentMs] of this.#roundSentMs) {
 			if (nowMs - sentMs < this.timing.electionMs * 2) {
 				return;
@@ -741,7 +741,7 @@
 	}
 
 	#sendEntries(member: Member, nowMs: number): void {
-		const peer = this.#peerOf(member.replica);
+		const peer = this.#getPeerProgress(member.replica);
 		const previousIndex = peer.nextIndex - 1;
 		const previousTerm = this.#log.getTerm(previousIndex);
 		if (previousTerm === undefined) {
@@ -787,19 +787,19 @@
 			this.#syncedIndex = this.#pendingWrites.shift()!.lastIndex;
 		}
 
-		const released = this.#held.filter(held => held.sequence <= sequence);
-		this.#held = this.#held.filter(held => held.sequence > sequence);
+		const released = this.#deferredSends.filter(deferred => deferred.sequence <= sequence);
+		this.#deferredSends = this.#deferredSends.filter(deferred => deferred.sequence > sequence);
 		for (const {effect} of released) {
 			this.#effects.push(effect);
 		}
 
-		if (this.#role === REPLICA_ROLES.candidate && sequence >= this.#ownVoteSequence) {
+		if (this.#role === REPLICA_ROLES.candidate && sequence >= this.#selfVoteSequence) {
 			this.#votes.add(this.id);
 			this.#countVotes(nowMs);
 		}
 
 		if (this.#role === REPLICA_ROLES.leader) {
-			this.#commitByQuorum(nowMs);
+			this.#advanceCommitByQuorum(nowMs);
 		}
 	}
 
@@ -809,10 +809,10 @@
 		this.#effects.push({type: 'write', sequence: this.#writeSequence, records});
 	}
 
-	#sendDurable(to: Member, body: ConsensusBody): void {
+	#sendAfterSync(to: Member, body: ConsensusBody): void {
 		const effect: ReplicaEffect = {type: 'send', to, body};
 		if (this.#safeguards.syncBeforeReply && this.#writeSequence > this.#syncedSequence) {
-			this.#held.push({sequence: this.#writeSequence, effect});
+			this.#deferredSends.push({sequence: this.#writeSequence, effect});
 			return;
 		}
 
@@ -843,17 +843,17 @@
 		});
 	}
 
-	#resetElection(nowMs: number): void {
+	#resetElectionTimer(nowMs: number): void {
 		this.#electionDeadlineMs = nowMs + (this.timing.electionMs * (1 + this.#random()));
 	}
 
-	#readConfiguration(): void {
+	#updateConfiguration(): void {
 		const {index, configuration} = this.#log.findLatestConfiguration();
 		this.#configuration = configuration;
 		this.#configurationIndex = index;
 	}
 
-	#configurationAt(index: number): Configuration {
+	#getConfigurationAt(index: number): Configuration {
 		for (let at = index; at > this.#log.snapshot.index; at--) {
 			const entry = this.#log.getEntry(at);
 			if (entry?.type === 'configuration') {
@@ -864,7 +864,7 @@
 		return this.#log.snapshot.configuration;
 	}
 
-	#others(): Member[] {
+	#listPeers(): Member[] {
 		return listMembers(this.#configuration).filter(member => member.replica !== this.id);
 	}
 
@@ -872,7 +872,7 @@
 		return listMembers(this.#configuration).find(member => member.replica === replica);
 	}
 
-	#peerOf(replica: string): PeerProgress {
+	#getPeerProgress(replica: string): PeerProgress {
 		let peer = this.#peers.get(replica);
 		if (!peer) {
 			peer = {
@@ -884,7 +884,7 @@
 		return peer;
 	}
 
-	#matchIndexOf(replica: string): number {
+	#getMatchIndex(replica: string): number {
 		if (replica === this.id) {
 			return this.#safeguards.syncBeforeReply ? this.#syncedIndex : this.#log.lastIndex;
 		}
@@ -892,11 +892,11 @@
 		return this.#peers.get(replica)?.matchIndex ?? 0;
 	}
 
-	#confirmedMs(replica: string, nowMs: number): number {
+	#getConfirmedMs(replica: string, nowMs: number): number {
 		return replica === this.id ? nowMs : this.#peers.get(replica)?.confirmedMs ?? Number.NEGATIVE_INFINITY;
 	}
 
-	#confirmedRound(replica: string): number {
+	#getConfirmedRound(replica: string): number {
 		return replica === this.id ? this.#round : this.#peers.get(replica)?.round ?? 0;
 	}
 }
--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -41,7 +41,7 @@
 	readonly file: FileHandle;
 	/** Bytes of the log that are whole. */
 	readonly length: number;
-	readonly image: PersistentState;
+	readonly state: PersistentState;
 };
 
 type Batch = {
@@ -51,12 +51,12 @@
 
 /** Pause before a failed write is tried again; a full or faulty disk lasts for seconds. */
 const WRITE_RETRY_MS = 100;
-const MAGIC = 0xCA_5A_AD_01;
-const FRAME_HEAD_BYTES = 12;
+const FRAME_MAGIC = 0xCA_5A_AD_01;
+const FRAME_HEADER_BYTES = 12;
 const IDENTITY_FILE = 'identity.json';
-const EMPTY_CONFIGURATION: Configuration = {voters: [], outgoing: [], learners: []};
+const NO_MEMBERS: Configuration = {voters: [], outgoing: [], learners: []};
 export const EMPTY_SNAPSHOT: Snapshot = {
-	index: 0, term: 0, configuration: EMPTY_CONFIGURATION, data: new Uint8Array(),
+	index: 0, term: 0, configuration: NO_MEMBERS, data: new Uint8Array(),
 };
 export const EMPTY_PERSISTENT_STATE: PersistentState = {hard: {term: 0, vote: ''}, snapshot: EMPTY_SNAPSHOT, entries: []};
 
@@ -78,7 +78,7 @@
 		}
 
 		const replica = randomUUID();
-		await writeWhole(folder, IDENTITY_FILE, new TextEncoder().encode(JSON.stringify({replica})));
+		await writeFileAtomically(folder, IDENTITY_FILE, new TextEncoder().encode(JSON.stringify({replica})));
 		return Either.right(replica);
 	} catch (error) {
 		return Either.left(createProblem('storageFailed', String(error)));
@@ -91,12 +91,12 @@
 	readonly #options: StorageOptions;
 	#generation: number;
 	#file: FileHandle;
-	#length: number;
-	#image: PersistentState;
+	#validLength: number;
+	#state: PersistentState;
 	readonly #queue: Batch[] = [];
 	#writing: Promise<void> | undefined;
 	/** Whether a failed write may have left a part of a frame behind the whole ones. */
-	#isTorn = false;
+	#hasPartialFrame = false;
 	#isClosing = false;
 
 	private constructor(folder: string, options: StorageOptions, opened: OpenedGeneration) {
@@ -104,8 +104,8 @@
 		this.#options = options;
 		this.#generation = opened.generation;
 		this.#file = opened.file;
-		this.#length = opened.length;
-		this.#image = opened.image;
+		this.#validLength = opened.length;
+		this.#state = opened.state;
 	}
 
 	/**
@@ -119,7 +119,7 @@
 	static async open(folder: string, options: StorageOptions): Promise<Either.Either<Problem, Storage>> {
 		try {
 			await mkdir(folder, {recursive: true});
-			const generation = await findGeneration(folder);
+			const generation = await findLatestGeneration(folder);
 			if (generation === 0) {
 				await writeGeneration(folder, 1, EMPTY_PERSISTENT_STATE);
 			}
@@ -147,30 +147,30 @@
 			return Either.left(createProblem('storageCorrupt', `snapshot-${generation}`));
 		}
 
-		let image: PersistentState = {...EMPTY_PERSISTENT_STATE, snapshot: decodeValue(payload) as Snapshot};
+		let state: PersistentState = {...EMPTY_PERSISTENT_STATE, snapshot: decodeValue(payload) as Snapshot};
 		for (const frame of log.right.payloads) {
-			image = applyRecords(image, decodeValue(frame) as LogRecord[]);
+			state = applyRecords(state, decodeValue(frame) as LogRecord[]);
 		}
 
 		const file = await open(logFile, 'a');
 		await file.truncate(log.right.length);
 		// What an earlier process wrote may still be only in the page cache.
 		await file.sync();
-		await removeOthers(folder, generation);
+		await removeOtherGenerations(folder, generation);
 		return Either.right(new Storage(folder, options, {
-			generation, file, length: log.right.length, image,
+			generation, file, length: log.right.length, state,
 		}));
 	}
 
 	/** What the files hold. */
 	get persistentState(): PersistentState {
-		return this.#image;
+		return this.#state;
 	}
 
 	/** Writes records; `onSynced` is called once they are on disk. */
 	write(sequence: number, records: readonly LogRecord[]): void {
 		this.#queue.push({sequence, records});
-		this.#writing ??= this.#drain();
+		this.#writing ??= this.#drainQueue();
 	}
 
 	/** Waits for what was written and closes the files. */
@@ -180,10 +180,10 @@
 		await this.#file.close();
 	}
 
-	async #drain(): Promise<void> {
+	async #drainQueue(): Promise<void> {
 		while (this.#queue.length > 0) {
-			const batches = this.#takeBatches();
-			if (!await this.#writeUntilDone(batches)) {
+			const batches = this.#dequeueBatches();
+			if (!await this.#writeWithRetry(batches)) {
 				break;
 			}
 
@@ -194,7 +194,7 @@
 	}
 
 	/** Writes batches, again after a failure; false if the storage was closed before they were written. */
-	async #writeUntilDone(batches: readonly Batch[]): Promise<boolean> {
+	async #writeWithRetry(batches: readonly Batch[]): Promise<boolean> {
 		for (;;) {
 			try {
 				await this.#writeBatches(batches);
@@ -211,7 +211,7 @@
 	}
 
 	/** Takes what can share one sync: everything up to a snapshot, which starts a new generation. */
-	#takeBatches(): Batch[] {
+	#dequeueBatches(): Batch[] {
 		const limit = this.#options.batchWrites === false ? 1 : this.#queue.length;
 		const snapshotAt = this.#queue.findIndex(batch => hasSnapshot(batch));
 		const count = snapshotAt === -1 ? limit : Math.min(limit, Math.max(1, snapshotAt));
@@ -220,36 +220,36 @@
 
 	async #writeBatches(batches: readonly Batch[]): Promise<void> {
 		const records = batches.flatMap(batch => batch.records);
-		const image = applyRecords(this.#image, records);
+		const state = applyRecords(this.#state, records);
 		if (batches.some(batch => hasSnapshot(batch))) {
-			await this.#startGeneration(image);
+			await this.#startGeneration(state);
 			return;
 		}
 
 		const frame = createFrame(encodeValue(records));
-		if (this.#isTorn) {
-			await this.#file.truncate(this.#length);
+		if (this.#hasPartialFrame) {
+			await this.#file.truncate(this.#validLength);
 		}
 
-		this.#isTorn = true;
+		this.#hasPartialFrame = true;
 		await this.#file.appendFile(frame);
 		await this.#file.datasync();
-		this.#isTorn = false;
-		this.#length += frame.length;
-		this.#image = image;
+		this.#hasPartialFrame = false;
+		this.#validLength += frame.length;
+		this.#state = state;
 	}
 
-	async #startGeneration(image: PersistentState): Promise<void> {
+	async #startGeneration(state: PersistentState): Promise<void> {
 		const generation = this.#generation + 1;
-		const length = await writeGeneration(this.#folder, generation, image);
+		const length = await writeGeneration(this.#folder, generation, state);
 		const file = await open(path.join(this.#folder, `log-${generation}`), 'a');
-		const former = this.#file;
+		const previousFile = this.#file;
 		this.#file = file;
-		this.#length = length;
+		this.#validLength = length;
 		this.#generation = generation;
-		this.#image = image;
-		await former.close();
-		await removeOthers(this.#folder, generation);
+		this.#state = state;
+		await previousFile.close();
+		await removeOtherGenerations(this.#folder, generation);
 	}
 }
 
@@ -261,9 +261,9 @@
  * applyRecords(EMPTY_IMAGE, [{type: 'hard', state: {term: 3, vote: 'a'}}]).hard.term; // 3
  * ```
  */
-export function applyRecords(image: PersistentState, records: readonly LogRecord[]): PersistentState {
-	let {hard, snapshot} = image;
-	let entries = image.entries as Entry[];
+export function applyRecords(state: PersistentState, records: readonly LogRecord[]): PersistentState {
+	let {hard, snapshot} = state;
+	let entries = state.entries as Entry[];
 	for (const record of records) {
 		switch (record.type) {
 			case 'hard': {
@@ -277,7 +277,7 @@
 			}
 
 			case 'entries': {
-				entries = entries === image.entries ? [...entries] : entries;
+				entries = entries === state.entries ? [...entries] : entries;
 				for (const entry of record.entries) {
 					entries.push(entry);
 				}
@@ -286,7 +286,7 @@
 			}
 
 			case 'snapshot': {
-				entries = keepAfterSnapshot(entries, record.snapshot);
+				entries = getEntriesAfterSnapshot(entries, record.snapshot);
 				snapshot = record.snapshot;
 				break;
 			}
@@ -296,9 +296,9 @@
 	return {hard, snapshot, entries};
 }
 
-function keepAfterSnapshot(entries: readonly Entry[], snapshot: Snapshot): Entry[] {
-	const same = entries.some(entry => entry.index === snapshot.index && entry.term === snapshot.term);
-	return same ? entries.filter(entry => entry.index > snapshot.index) : [];
+function getEntriesAfterSnapshot(entries: readonly Entry[], snapshot: Snapshot): Entry[] {
+	const containsSnapshotEnd = entries.some(entry => entry.index === snapshot.index && entry.term === snapshot.term);
+	return containsSnapshotEnd ? entries.filter(entry => entry.index > snapshot.index) : [];
 }
 
 function hasSnapshot(batch: Batch): boolean {
@@ -306,11 +306,11 @@
 }
 
 function createFrame(payload: Uint8Array): Uint8Array {
-	const frame = Buffer.allocUnsafe(FRAME_HEAD_BYTES + payload.length);
-	frame.writeUInt32BE(MAGIC, 0);
+	const frame = Buffer.allocUnsafe(FRAME_HEADER_BYTES + payload.length);
+	frame.writeUInt32BE(FRAME_MAGIC, 0);
 	frame.writeUInt32BE(payload.length, 4);
 	frame.writeUInt32BE(crc32(payload, payload.length), 8);
-	frame.set(payload, FRAME_HEAD_BYTES);
+	frame.set(payload, FRAME_HEADER_BYTES);
 	return frame;
 }
 
@@ -325,12 +325,12 @@
 		}
 
 		payloads.push(payload);
-		offset += FRAME_HEAD_BYTES + payload.length;
+		offset += FRAME_HEADER_BYTES + payload.length;
 	}
 
-	for (let at = offset + 1; at + FRAME_HEAD_BYTES <= bytes.length; at++) {
-		if (readFrame(bytes, at)) {
-			return Either.left(createProblem('storageCorrupt', `Damage at byte ${offset}, a whole record at byte ${at}.`));
+	for (let position = offset + 1; position + FRAME_HEADER_BYTES <= bytes.length; position++) {
+		if (readFrame(bytes, position)) {
+			return Either.left(createProblem('storageCorrupt', `Damage at byte ${offset}, a whole record at byte ${position}.`));
 		}
 	}
 
@@ -338,14 +338,14 @@
 }
 
 function readFrame(bytes: Uint8Array, offset: number): Uint8Array | undefined {
-	if (offset + FRAME_HEAD_BYTES > bytes.length) {
+	if (offset + FRAME_HEADER_BYTES > bytes.length) {
 		return undefined;
 	}
 
-	const view = new DataView(bytes.buffer, bytes.byteOffset + offset, FRAME_HEAD_BYTES);
+	const view = new DataView(bytes.buffer, bytes.byteOffset + offset, FRAME_HEADER_BYTES);
 	const length = view.getUint32(4);
-	const start = offset + FRAME_HEAD_BYTES;
-	if (view.getUint32(0) !== MAGIC || start + length > bytes.length) {
+	const start = offset + FRAME_HEADER_BYTES;
+	if (view.getUint32(0) !== FRAME_MAGIC || start + length > bytes.length) {
 		return undefined;
 	}
 
@@ -353,24 +353,24 @@
 	return crc32(payload, length) === view.getUint32(8) ? payload : undefined;
 }
 
-async function findGeneration(folder: string): Promise<number> {
+async function findLatestGeneration(folder: string): Promise<number> {
 	const names = await readdir(folder);
 	const generations = names.map(name => /^log-(\d+)$/v.exec(name)?.[1]).filter(match => match !== undefined);
 	return Math.max(0, ...generations.map(Number));
 }
 
-async function writeGeneration(folder: string, generation: number, image: PersistentState): Promise<number> {
+async function writeGeneration(folder: string, generation: number, state: PersistentState): Promise<number> {
 	const records: LogRecord[] = [
-		{type: 'hard', state: image.hard},
-		{type: 'entries', entries: image.entries},
+		{type: 'hard', state: state.hard},
+		{type: 'entries', entries: state.entries},
 	];
-	await writeWhole(folder, `snapshot-${generation}`, createFrame(encodeValue(image.snapshot)));
+	await writeFileAtomically(folder, `snapshot-${generation}`, createFrame(encodeValue(state.snapshot)));
 	const log = createFrame(encodeValue(records));
-	await writeWhole(folder, `log-${generation}`, log);
+	await writeFileAtomically(folder, `log-${generation}`, log);
 	return log.length;
 }
 
-async function removeOthers(folder: string, generation: number): Promise<void> {
+async function removeOtherGenerations(folder: string, generation: number): Promise<void> {
 	for (const name of await readdir(folder)) {
 		const match = /^(?:log|snapshot)-(\d+)/v.exec(name);
 		if (match && (Number(match[1]) !== generation || name.endsWith('.new'))) {
@@ -380,7 +380,7 @@
 }
 
 /** Writes a file so that it exists whole or not at all. */
-async function writeWhole(folder: string, name: string, bytes: Uint8Array): Promise<void> {
+async function writeFileAtomically(folder: string, name: string, bytes: Uint8Array): Promise<void> {
 	const temporary = path.join(folder, `${name}.new`);
 	const file = await open(temporary, 'w');
 	await file.writeFile(bytes);
--- a/src/control/bootstrap.ts
+++ b/src/control/bootstrap.ts
@@ -21,7 +21,7 @@
  *
  * @param self - The deciding host and its replica.
  * @param peers - The control hosts in the settings, in the same order on every host.
- * @param answers - What the other hosts answered.
+ * @param replies - What the other hosts answered.
  * @example
  * ```ts
  * formConfiguration({host: 'a1', replica: '6f1c'}, [peer], []); // one voter
@@ -30,9 +30,9 @@
 export function createInitialConfiguration(
 	self: {readonly host: string; readonly replica: string},
 	peers: readonly Peer[],
-	answers: readonly BootstrapReply[],
+	replies: readonly BootstrapReply[],
 ): Configuration | undefined {
-	if (peers[0]?.host !== self.host || answers.some(answer => answer.welcome.configuration)) {
+	if (peers[0]?.host !== self.host || replies.some(answer => answer.welcome.configuration)) {
 		return undefined;
 	}
 
@@ -40,7 +40,7 @@
 	for (const peer of peers) {
 		const replica = peer.host === self.host
 			? self.replica
-			: answers.find(answer => answer.peer.host === peer.host)?.welcome.replica;
+			: replies.find(answer => answer.peer.host === peer.host)?.welcome.replica;
 		if (replica === undefined) {
 			return undefined;
 		}
@@ -64,9 +64,9 @@
 export function findInitialConfiguration(
 	replica: string,
 	peers: readonly Peer[],
-	answers: readonly BootstrapReply[],
+	replies: readonly BootstrapReply[],
 ): Configuration | undefined {
-	const configuration = answers.find(answer => answer.peer.host === peers[0]?.host)?.welcome.configuration;
+	const configuration = replies.find(answer => answer.peer.host === peers[0]?.host)?.welcome.configuration;
 	const isVoter = configuration?.voters.some(member => member.replica === replica) ?? false;
 	return isVoter && configuration?.outgoing.length === 0 ? configuration : undefined;
 }
--- a/src/control/client.ts
+++ b/src/control/client.ts
@@ -13,8 +13,8 @@
 import {connect, type Address, type Connection} from '../wire/connection.js';
 
 type Reply = ProposeReply | RefusalReply | RenewReply | ReadReply | MembersReply;
-type Distribute<Union, Key extends PropertyKey> = Union extends unknown ? Omit<Union, Key> : never;
-type Question = Distribute<
+type DistributiveOmit<Union, Key extends PropertyKey> = Union extends unknown ? Omit<Union, Key> : never;
+type ControlRequest = DistributiveOmit<
 	| {type: 'propose'; id: number; command: Command}
 	| {type: 'read'; id: number; from: number}
 	| RenewRequest
@@ -29,20 +29,20 @@
 	readonly onViewPushed: (message: RenewReply) => void;
 };
 
-const ANSWER_TIMEOUT_MS = 1000;
+const REPLY_TIMEOUT_MS = 1000;
 const RETRY_PAUSE_MS = 60;
 export const DEFAULT_TIMEOUT_MS = 5000;
 
 /** A client of the control hosts. Whoever created it closes it. */
 export class ControlClient {
 	readonly #options: ControlClientOptions;
-	readonly #waiting = new Map<number, (reply: Reply | undefined) => void>();
+	readonly #pendingRequests = new Map<number, (reply: Reply | undefined) => void>();
 	#targets: Address[];
 	#target = 0;
 	#connection: Connection | undefined;
 	#nextId = 1;
 	/** Rises whenever another control host is turned to, so that many failed questions turn only once. */
-	#generation = 0;
+	#targetGeneration = 0;
 	#isClosed = false;
 
 	constructor(options: ControlClientOptions) {
@@ -58,7 +58,7 @@
 
 		const current = this.#targets[this.#target];
 		this.#targets = members.map(({address, port}) => ({address, port}));
-		const index = this.#targets.findIndex(target => isSame(target, current));
+		const index = this.#targets.findIndex(target => isSameAddress(target, current));
 		this.#target = Math.max(0, index);
 	}
 
@@ -73,20 +73,20 @@
 	 * ```
 	 */
 	propose(command: Command, deadlineMs = DEFAULT_TIMEOUT_MS): TaskEither<Problem, ProposeReply> {
-		return this.#ask({type: 'propose', command}, 'proposed', deadlineMs);
+		return this.#sendWithRetry({type: 'propose', command}, 'proposed', deadlineMs);
 	}
 
 	/** Reads all that has changed since a version, as of now: a majority confirms it. */
 	readResources(from: number, deadlineMs = DEFAULT_TIMEOUT_MS): TaskEither<Problem, ReadReply> {
-		return this.#ask({type: 'read', from}, 'listing', deadlineMs);
+		return this.#sendWithRetry({type: 'read', from}, 'listing', deadlineMs);
 	}
 
-	renewViewLease(message: Omit<RenewRequest, 'id'>, deadlineMs = ANSWER_TIMEOUT_MS): TaskEither<Problem, RenewReply> {
-		return this.#ask(message, 'renewed', deadlineMs);
+	renewViewLease(message: Omit<RenewRequest, 'id'>, deadlineMs = REPLY_TIMEOUT_MS): TaskEither<Problem, RenewReply> {
+		return this.#sendWithRetry(message, 'renewed', deadlineMs);
 	}
 
 	manageMembers(message: Omit<MembersRequest, 'id'>): TaskEither<Problem, MembersReply> {
-		return this.#ask(message, 'members-reply', DEFAULT_TIMEOUT_MS);
+		return this.#sendWithRetry(message, 'members-reply', DEFAULT_TIMEOUT_MS);
 	}
 
 	close(): void {
@@ -94,15 +94,15 @@
 		this.#connection?.close();
 	}
 
-	#ask<Type extends Reply['type']>(question: Question, expected: Type, deadlineMs: number): TaskEither<Problem, Extract<Reply, {type: Type}>> {
+	#sendWithRetry<Type extends Reply['type']>(request: ControlRequest, expected: Type, deadlineMs: number): TaskEither<Problem, Extract<Reply, {type: Type}>> {
 		return async () => {
 			const {clock} = this.#options;
-			const untilMs = clock.monotonicMs() + deadlineMs;
-			let mayHaveRun = false;
-			while (clock.monotonicMs() < untilMs && !this.#isClosed) {
+			const deadlineAtMs = clock.monotonicMs() + deadlineMs;
+			let mayHaveCommitted = false;
+			while (clock.monotonicMs() < deadlineAtMs && !this.#isClosed) {
 				const id = this.#nextId++;
-				const generation = this.#generation;
-				const reply = await this.#exchange({...question, id}, id, Math.min(ANSWER_TIMEOUT_MS, untilMs - clock.monotonicMs()));
+				const generation = this.#targetGeneration;
+				const reply = await this.#sendOnce({...request, id}, id, Math.min(REPLY_TIMEOUT_MS, deadlineAtMs - clock.monotonicMs()));
 				if (reply?.type === expected) {
 					return Either.right(reply as Extract<Reply, {type: Type}>);
 				}
@@ -113,32 +113,32 @@
 					return Either.left({...createProblem(name ?? 'internal'), text: refusal.text});
 				}
 
-				mayHaveRun ||= name === undefined || name === 'proposalUnknown';
-				this.#turn(refusal, generation);
+				mayHaveCommitted ||= name === undefined || name === 'proposalUnknown';
+				this.#switchTarget(refusal, generation);
 				await pause(RETRY_PAUSE_MS);
 			}
 
-			return Either.left(createProblem(mayHaveRun && question.type === 'propose' ? 'proposalUnknown' : 'noQuorum', undefined, 1));
+			return Either.left(createProblem(mayHaveCommitted && request.type === 'propose' ? 'proposalUnknown' : 'noQuorum', undefined, 1));
 		};
 	}
 
-	async #exchange(message: Message, id: number, timeoutMs: number): Promise<Reply | undefined> {
+	async #sendOnce(message: Message, id: number, timeoutMs: number): Promise<Reply | undefined> {
 		return new Promise(resolve => {
 			const timer = setTimeout(() => {
 				finish(undefined);
 			}, timeoutMs);
 			const finish = (reply: Reply | undefined) => {
 				clearTimeout(timer);
-				this.#waiting.delete(id);
+				this.#pendingRequests.delete(id);
 				resolve(reply);
 			};
 
-			this.#waiting.set(id, finish);
-			this.#open().send(message);
+			this.#pendingRequests.set(id, finish);
+			this.#getConnection().send(message);
 		});
 	}
 
-	#open(): Connection {
+	#getConnection(): Connection {
 		if (this.#connection?.isOpen) {
 			return this.#connection;
 		}
@@ -149,7 +149,7 @@
 		connection.onClose(() => {
 			if (this.#connection === connection) {
 				this.#connection = undefined;
-				this.#failWaiting();
+				this.#failPendingRequests();
 			}
 		});
 		this.#connection = connection;
@@ -164,7 +164,7 @@
 					return;
 				}
 
-				this.#waiting.get(message.id)?.(message);
+				this.#pendingRequests.get(message.id)?.(message);
 				break;
 			}
 
@@ -172,7 +172,7 @@
 			case 'refused':
 			case 'listing':
 			case 'members-reply': {
-				this.#waiting.get(message.id)?.(message);
+				this.#pendingRequests.get(message.id)?.(message);
 				break;
 			}
 
@@ -183,41 +183,41 @@
 	}
 
 	/** Turns to the leader that was named, or to the next control host; a silent connection is left behind. */
-	#turn(refusal: RefusalReply | undefined, generation: number): void {
-		if (generation !== this.#generation) {
+	#switchTarget(refusal: RefusalReply | undefined, generation: number): void {
+		if (generation !== this.#targetGeneration) {
 			return;
 		}
 
-		const next = this.#findNext(refusal);
+		const next = this.#findNextTarget(refusal);
 		if (next === this.#target && refusal) {
 			return;
 		}
 
-		this.#generation++;
+		this.#targetGeneration++;
 		this.#target = next;
 		const connection = this.#connection;
 		this.#connection = undefined;
 		connection?.close();
-		this.#failWaiting();
+		this.#failPendingRequests();
 	}
 
-	#findNext(refusal: RefusalReply | undefined): number {
+	#findNextTarget(refusal: RefusalReply | undefined): number {
 		if (!refusal?.leader) {
 			return (this.#target + 1) % this.#targets.length;
 		}
 
 		const {address, port} = refusal.leader;
-		const named = this.#targets.findIndex(target => isSame(target, refusal.leader));
-		return named === -1 ? this.#targets.push({address, port}) - 1 : named;
+		const namedIndex = this.#targets.findIndex(target => isSameAddress(target, refusal.leader));
+		return namedIndex === -1 ? this.#targets.push({address, port}) - 1 : namedIndex;
 	}
 
-	#failWaiting(): void {
-		for (const settle of this.#waiting.values()) {
+	#failPendingRequests(): void {
+		for (const settle of this.#pendingRequests.values()) {
 			settle(undefined);
 		}
 	}
 }
 
-function isSame(target: Address, other: Address | undefined): boolean {
+function isSameAddress(target: Address, other: Address | undefined): boolean {
 	return target.address === other?.address && target.port === other.port;
 }
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -20,7 +20,7 @@
 export const ROLE_POLICY_NAME = 'roles';
 const AUTOMATIC_PREFIX = 'auto-';
 const AUTOMATIC_RETENTION_MS = 3_600_000;
-const ROLE_TICK_MS = 1000;
+const ROLE_PLAN_INTERVAL_MS = 1000;
 
 export type ControllerTiming = {
 	/** Length of an entry host's view lease. */
@@ -87,15 +87,15 @@
 	readonly leaseUntilMs: number;
 };
 
-type Sighting = {
+type ServerObservation = {
 	readonly announcement: Announcement;
 	readonly atMs: number;
 };
 
-type Attempt = {
+type OrderAttempt = {
 	order: number;
 	state: 'unsent' | 'sent' | 'unresolved';
-	triedMs: number;
+	lastTryMs: number;
 };
 
 export type LeaseClock = {
@@ -124,22 +124,22 @@
 	readonly #safeguards: OrderSafeguards;
 	readonly #electedMs: number;
 	readonly #sessions = new Map<string, Session>();
-	readonly #sightings = new Map<string, Sighting>();
-	readonly #attempts = new Map<string, Attempt>();
-	readonly #quiet = new Map<string, {readonly sequence: number; readonly incarnation: number}>();
-	readonly #proposed = new Map<string, number>();
-	readonly #loads: TokenBucket;
+	readonly #observations = new Map<string, ServerObservation>();
+	readonly #orderAttempts = new Map<string, OrderAttempt>();
+	readonly #drainBaselines = new Map<string, {readonly sequence: number; readonly incarnation: number}>();
+	readonly #lastProposedMs = new Map<string, number>();
+	readonly #loadLimiter: TokenBucket;
 	readonly #demands = new Map<string, readonly ModelDemand[]>();
-	readonly #roleChangedMs = new Map<string, number>();
+	readonly #lastRoleChangeMs = new Map<string, number>();
 	/** Changes whose orders this leader issued itself. */
-	readonly #issued = new Set<string>();
-	#nextRoleMs = 0;
+	readonly #changesOrderedHere = new Set<string>();
+	#nextRolePlanMs = 0;
 
 	constructor(electedMs: number, timing = DEFAULT_CONTROLLER_TIMING, mechanisms = ALL_ORDER_SAFEGUARDS) {
 		this.#electedMs = electedMs;
 		this.#timing = timing;
 		this.#safeguards = mechanisms;
-		this.#loads = new TokenBucket({perSecond: 1, burst: 2}, electedMs);
+		this.#loadLimiter = new TokenBucket({perSecond: 1, burst: 2}, electedMs);
 	}
 
 	/** Entry hosts with a view lease now. */
@@ -171,15 +171,15 @@
 
 	/** Takes an announcement of a server, which tells where orders go. */
 	observe(announcement: Announcement, nowMs: number): void {
-		const known = this.#sightings.get(announcement.server)?.announcement;
-		if (!known || isNewerAnnouncement(announcement, known)) {
-			this.#sightings.set(announcement.server, {announcement, atMs: nowMs});
+		const previous = this.#observations.get(announcement.server)?.announcement;
+		if (!previous || isNewerAnnouncement(announcement, previous)) {
+			this.#observations.set(announcement.server, {announcement, atMs: nowMs});
 		}
 	}
 
 	/** Notes what became of an order; what follows from it comes with the next tick. */
-	handleReport(report: OrderReport, authority: LeaseClock): ControllerEffect[] {
-		const attempt = this.#attempts.get(report.server);
+	handleReport(report: OrderReport, clock: LeaseClock): ControllerEffect[] {
+		const attempt = this.#orderAttempts.get(report.server);
 		if (attempt?.order !== report.order) {
 			return [];
 		}
@@ -187,11 +187,11 @@
 		switch (report.type) {
 			case 'done':
 			case 'failed': {
-				this.#attempts.delete(report.server);
+				this.#orderAttempts.delete(report.server);
 				return [{
 					type: 'propose',
 					command: {
-						type: 'settle-order', at: authority.wallMs, server: report.server, order: report.order, outcome: report.type, note: report.note,
+						type: 'settle-order', at: clock.wallMs, server: report.server, order: report.order, outcome: report.type, note: report.note,
 					},
 				}];
 			}
@@ -212,22 +212,22 @@
 	}
 
 	/** Looks at everything once and returns what is due. */
-	tick(state: ControlState, authority: LeaseClock): ControllerEffect[] {
+	tick(state: ControlState, clock: LeaseClock): ControllerEffect[] {
 		return [
-			...this.#tickChanges(state, authority),
-			...this.#tickOrders(state, authority),
-			...this.#tickClaims(state, authority),
+			...this.#advanceChanges(state, clock),
+			...this.#advanceOrders(state, clock),
+			...this.#closeAbandonedClaims(state, clock),
 		];
 	}
 
 	/** Decides at most one role change: as the operators have declared, or by itself if they have asked for that. */
-	planRoleChanges(state: ControlState, engines: readonly Announcement[], authority: LeaseClock): ControllerEffect[] {
-		if (authority.nowMs < this.#nextRoleMs) {
+	planRoleChanges(state: ControlState, engines: readonly Announcement[], clock: LeaseClock): ControllerEffect[] {
+		if (clock.nowMs < this.#nextRolePlanMs) {
 			return [];
 		}
 
-		this.#nextRoleMs = authority.nowMs + ROLE_TICK_MS;
-		const declared = this.#followDeclaredRole(state, engines, authority);
+		this.#nextRolePlanMs = clock.nowMs + ROLE_PLAN_INTERVAL_MS;
+		const declared = this.#planDeclaredRole(state, engines, clock);
 		if (declared) {
 			return [{type: 'propose', command: declared}];
 		}
@@ -239,17 +239,17 @@
 
 		const profile = {...PROFILES[policy.profile], ...(policy.changeWeight === undefined ? {} : {changeWeight: policy.changeWeight})};
 		for (const pool of groupPools(engines)) {
-			const command = this.#choosePoolChange(state, pool, profile, authority);
+			const command = this.#planPoolRoleChange(state, pool, profile, clock);
 			if (command) {
 				return [{type: 'propose', command}];
 			}
 		}
 
-		return this.#forgetOldChanges(state, authority);
+		return this.#removeOldAutomaticChanges(state, clock);
 	}
 
 	/** An engine resource says which role its engine should play. */
-	#followDeclaredRole(state: ControlState, engines: readonly Announcement[], authority: LeaseClock): Command | undefined {
+	#planDeclaredRole(state: ControlState, engines: readonly Announcement[], clock: LeaseClock): Command | undefined {
 		for (const {name, version, specification} of state.listResources()) {
 			const announced = specification.kind === 'engine' ? engines.find(({server}) => server === name) : undefined;
 			if (specification.kind !== 'engine' || !announced || announced.role === specification.role) {
@@ -257,18 +257,18 @@
 			}
 
 			const change = `declared-${name}-${version}`;
-			const earlier = state.findResource('change', change);
+			const existingChange = state.findResource('change', change);
 			const isChanging = state.listResources().some(resource => excludesServer(resource, name));
-			if (!earlier && !isChanging) {
-				return createRoleChange(change, {server: name, role: specification.role, reason: 'the operators declared that role'}, authority);
+			if (!existingChange && !isChanging) {
+				return createRoleChange(change, {server: name, role: specification.role, reason: 'the operators declared that role'}, clock);
 			}
 		}
 
 		return undefined;
 	}
 
-	#choosePoolChange(state: ControlState, pool: readonly Announcement[], profile: RoleProfile, authority: LeaseClock): Command | undefined {
-		const key = poolKey(pool[0]!);
+	#planPoolRoleChange(state: ControlState, pool: readonly Announcement[], profile: RoleProfile, clock: LeaseClock): Command | undefined {
+		const key = createPoolKey(pool[0]!);
 		const isChanging = state.listOpenChanges().some(change => pool.some(({server}) => server === (change.specification as ChangeSpecification).server));
 		if (isChanging) {
 			return undefined;
@@ -276,45 +276,45 @@
 
 		const usable = pool.filter(({server}) => !state.listResources().some(resource => excludesServer(resource, server)));
 		const engines = usable.map(({server, role, load}) => ({server, role: role ?? 'mixed', running: load?.running ?? 0}));
-		const sinceMs = authority.nowMs - (this.#roleChangedMs.get(key) ?? this.#electedMs);
-		const change = chooseRoleChange(this.#poolDemand(pool[0]!), engines, sinceMs / 1000, profile);
+		const sinceMs = clock.nowMs - (this.#lastRoleChangeMs.get(key) ?? this.#electedMs);
+		const change = chooseRoleChange(this.#computePoolDemand(pool[0]!), engines, sinceMs / 1000, profile);
 		if (!change) {
 			return undefined;
 		}
 
-		this.#roleChangedMs.set(key, authority.nowMs);
+		this.#lastRoleChangeMs.set(key, clock.nowMs);
 		const name = `${AUTOMATIC_PREFIX}${change.server}-${state.version}`;
-		return createRoleChange(name, change, authority);
+		return createRoleChange(name, change, clock);
 	}
 
-	#poolDemand(engine: Announcement): Demand {
-		const own = [...this.#demands.values()].flat().filter(({model}) => (engine.models ?? []).includes(model));
+	#computePoolDemand(engine: Announcement): Demand {
+		const poolDemands = [...this.#demands.values()].flat().filter(({model}) => (engine.models ?? []).includes(model));
 		return {
-			prefill: own.reduce((sum, {prefill}) => sum + prefill, 0),
-			decode: own.reduce((sum, {decode}) => sum + decode, 0),
+			prefill: poolDemands.reduce((sum, {prefill}) => sum + prefill, 0),
+			decode: poolDemands.reduce((sum, {decode}) => sum + decode, 0),
 		};
 	}
 
 	/** Automatic changes leave a trace for a while, then make room. */
-	#forgetOldChanges(state: ControlState, authority: LeaseClock): ControllerEffect[] {
-		const old = state.listResources().find(({name, status}) => name.startsWith(AUTOMATIC_PREFIX)
+	#removeOldAutomaticChanges(state: ControlState, clock: LeaseClock): ControllerEffect[] {
+		const oldChange = state.listResources().find(({name, status}) => name.startsWith(AUTOMATIC_PREFIX)
 			&& (status?.phase === CHANGE_PHASES.done || status?.phase === CHANGE_PHASES.failed)
-			&& authority.wallMs - (status.history.at(-1)?.at ?? 0) > AUTOMATIC_RETENTION_MS);
-		return old
+			&& clock.wallMs - (status.history.at(-1)?.at ?? 0) > AUTOMATIC_RETENTION_MS);
+		return oldChange
 			? [{
 				type: 'propose',
 				command: {
-					type: 'remove', at: authority.wallMs, requestId: `forget-${old.name}`, kind: 'change', name: old.name, seen: old.version,
+					type: 'remove', at: clock.wallMs, requestId: `forget-${oldChange.name}`, kind: 'change', name: oldChange.name, seen: oldChange.version,
 				},
 			}]
 			: [];
 	}
 
-	#tickChanges(state: ControlState, authority: LeaseClock): ControllerEffect[] {
+	#advanceChanges(state: ControlState, clock: LeaseClock): ControllerEffect[] {
 		const effects: ControllerEffect[] = [];
 		for (const resource of state.listOpenChanges()) {
-			const command = this.#advance(resource, state, authority);
-			if (command && this.#mayPropose(`${resource.name}@${resource.version}`, authority.nowMs)) {
+			const command = this.#advanceChange(resource, state, clock);
+			if (command && this.#shouldPropose(`${resource.name}@${resource.version}`, clock.nowMs)) {
 				effects.push({type: 'propose', command});
 			}
 		}
@@ -322,14 +322,14 @@
 		return effects;
 	}
 
-	#advance(resource: Resource, state: ControlState, authority: LeaseClock): Command | undefined {
+	#advanceChange(resource: Resource, state: ControlState, clock: LeaseClock): Command | undefined {
 		const change = resource.specification as ChangeSpecification;
 		if (resource.status?.phase === CHANGE_PHASES.draining) {
-			const note = this.#describeDrained(resource, change, authority.nowMs);
+			const note = this.#describeFinishedDrain(resource, change, clock.nowMs);
 			return note === undefined
 				? undefined
 				: {
-					type: 'advance', at: authority.wallMs, change: resource.name, from: CHANGE_PHASES.draining, phase: CHANGE_PHASES.drained, note,
+					type: 'advance', at: clock.wallMs, change: resource.name, from: CHANGE_PHASES.draining, phase: CHANGE_PHASES.drained, note,
 				};
 		}
 
@@ -338,61 +338,61 @@
 		}
 
 		const {server, action} = planOrder(change);
-		const isBusy = state.listOpenOrders().some(order => order.server === server);
-		if (isBusy || (action.type === 'load' && !this.#loads.take(authority.nowMs))) {
+		const hasOpenOrder = state.listOpenOrders().some(order => order.server === server);
+		if (hasOpenOrder || (action.type === 'load' && !this.#loadLimiter.take(clock.nowMs))) {
 			return undefined;
 		}
 
-		this.#issued.add(resource.name);
+		this.#changesOrderedHere.add(resource.name);
 		return {
-			type: 'issue-order', at: authority.wallMs, change: resource.name, server, action,
+			type: 'issue-order', at: clock.wallMs, change: resource.name, server, action,
 		};
 	}
 
 	/** Returns the story's next sentence once nothing runs at the server and nobody can send there any more. */
-	#describeDrained(resource: Resource, change: ChangeSpecification, nowMs: number): string | undefined {
-		const isSettled = nowMs - this.#electedMs >= this.#timing.viewLeaseMs || !this.#safeguards.awaitViewAcknowledgements;
-		if (!isSettled) {
+	#describeFinishedDrain(resource: Resource, change: ChangeSpecification, nowMs: number): string | undefined {
+		const haveEarlierLeasesExpired = nowMs - this.#electedMs >= this.#timing.viewLeaseMs || !this.#safeguards.awaitViewAcknowledgements;
+		if (!haveEarlierLeasesExpired) {
 			return undefined;
 		}
 
-		const live = [...this.#sessions.values()].filter(session => session.leaseUntilMs > nowMs);
-		const isUnseen = live.some(session => session.version < resource.version || (session.running.get(change.server) ?? 0) > 0);
-		if (isUnseen && this.#safeguards.awaitViewAcknowledgements) {
+		const liveSessions = [...this.#sessions.values()].filter(session => session.leaseUntilMs > nowMs);
+		const isUnacknowledged = liveSessions.some(session => session.version < resource.version || (session.running.get(change.server) ?? 0) > 0);
+		if (isUnacknowledged && this.#safeguards.awaitViewAcknowledgements) {
 			return undefined;
 		}
 
-		if (this.#safeguards.awaitIdle && !this.#isQuiet(resource.name, change.server, nowMs)) {
+		if (this.#safeguards.awaitIdle && !this.#isIdle(resource.name, change.server, nowMs)) {
 			return undefined;
 		}
 
-		this.#quiet.delete(resource.name);
-		return `All ${live.length} entry hosts have stopped sending to ${change.server}, and nothing runs there any more.`;
+		this.#drainBaselines.delete(resource.name);
+		return `All ${liveSessions.length} entry hosts have stopped sending to ${change.server}, and nothing runs there any more.`;
 	}
 
 	/** Load reports lag: only reports made after the last entry host stopped count. */
-	#isQuiet(name: string, server: string, nowMs: number): boolean {
-		const sighting = this.#sightings.get(server);
-		if (!sighting || nowMs - sighting.atMs > this.#timing.serverTimeoutMs) {
+	#isIdle(name: string, server: string, nowMs: number): boolean {
+		const observation = this.#observations.get(server);
+		if (!observation || nowMs - observation.atMs > this.#timing.serverTimeoutMs) {
 			// A server that has been silent for long runs nothing that could be cut by waiting less.
 			return nowMs - this.#electedMs >= this.#timing.serverTimeoutMs;
 		}
 
-		const {sequence, incarnation, load} = sighting.announcement;
-		const noted = this.#quiet.get(name);
-		if (noted?.incarnation !== incarnation) {
-			this.#quiet.set(name, {sequence, incarnation});
+		const {sequence, incarnation, load} = observation.announcement;
+		const baseline = this.#drainBaselines.get(name);
+		if (baseline?.incarnation !== incarnation) {
+			this.#drainBaselines.set(name, {sequence, incarnation});
 			return false;
 		}
 
-		const isLate = sequence >= noted.sequence + 2;
-		return isLate && (load?.running ?? 0) === 0 && (load?.waiting ?? 0) === 0;
+		const hasFreshReport = sequence >= baseline.sequence + 2;
+		return hasFreshReport && (load?.running ?? 0) === 0 && (load?.waiting ?? 0) === 0;
 	}
 
-	#tickOrders(state: ControlState, authority: LeaseClock): ControllerEffect[] {
+	#advanceOrders(state: ControlState, clock: LeaseClock): ControllerEffect[] {
 		const effects: ControllerEffect[] = [];
 		for (const order of state.listOpenOrders()) {
-			const effect = this.#driveOrder(order, authority);
+			const effect = this.#advanceOrder(order, clock);
 			if (effect) {
 				effects.push(effect);
 			}
@@ -401,28 +401,28 @@
 		return effects;
 	}
 
-	#driveOrder(order: OpenOrder, {nowMs, leaseUntilMs}: LeaseClock): ControllerEffect | undefined {
-		const sighting = this.#sightings.get(order.server);
-		if (!sighting) {
+	#advanceOrder(order: OpenOrder, {nowMs, leaseUntilMs}: LeaseClock): ControllerEffect | undefined {
+		const observation = this.#observations.get(order.server);
+		if (!observation) {
 			return undefined;
 		}
 
-		const server = sighting.announcement;
-		const attempt = this.#attemptOf(order);
-		if (nowMs - attempt.triedMs < this.#timing.orderRetryMs) {
+		const server = observation.announcement;
+		const attempt = this.#getOrderAttempt(order);
+		if (nowMs - attempt.lastTryMs < this.#timing.orderRetryMs) {
 			return undefined;
 		}
 
 		// An order whose sending is not remembered may have gone out: from another leader, or without an answer.
 		if (attempt.state !== 'unsent' && this.#safeguards.queryBeforeResend) {
-			attempt.triedMs = nowMs;
+			attempt.lastTryMs = nowMs;
 			return {
-				type: 'query-order', server, order, isOwn: this.#issued.has(order.change),
+				type: 'query-order', server, order, isOwn: this.#changesOrderedHere.has(order.change),
 			};
 		}
 
 		const checksFence = server.checksFence === true;
-		if (!checksFence && !this.#hasWaitedOut(nowMs)) {
+		if (!checksFence && !this.#hasPreviousLeaseExpired(nowMs)) {
 			return undefined;
 		}
 
@@ -432,30 +432,30 @@
 		}
 
 		attempt.state = 'sent';
-		attempt.triedMs = nowMs;
+		attempt.lastTryMs = nowMs;
 		return {
 			type: 'send-order', server, order, notAfterMs,
 		};
 	}
 
 	/** The predecessor's authority, and any order it wrote at the end of it, are over. */
-	#hasWaitedOut(nowMs: number): boolean {
+	#hasPreviousLeaseExpired(nowMs: number): boolean {
 		const waitMs = Math.max(this.#timing.leaderLeaseMs + this.#timing.orderTransitMs, this.#timing.minTakeoverMs);
 		return !this.#safeguards.awaitLeaseExpiry || nowMs - this.#electedMs >= waitMs;
 	}
 
-	#attemptOf(order: OpenOrder): Attempt {
-		const known = this.#attempts.get(order.server);
-		if (known?.order === order.order) {
-			return known;
+	#getOrderAttempt(order: OpenOrder): OrderAttempt {
+		const previous = this.#orderAttempts.get(order.server);
+		if (previous?.order === order.order) {
+			return previous;
 		}
 
-		const attempt: Attempt = {order: order.order, state: 'unresolved', triedMs: Number.NEGATIVE_INFINITY};
-		this.#attempts.set(order.server, attempt);
+		const attempt: OrderAttempt = {order: order.order, state: 'unresolved', lastTryMs: Number.NEGATIVE_INFINITY};
+		this.#orderAttempts.set(order.server, attempt);
 		return attempt;
 	}
 
-	#tickClaims(state: ControlState, {nowMs, wallMs}: LeaseClock): ControllerEffect[] {
+	#closeAbandonedClaims(state: ControlState, {nowMs, wallMs}: LeaseClock): ControllerEffect[] {
 		const graceMs = this.#timing.viewLeaseMs + this.#timing.claimGraceMs;
 		if (nowMs - this.#electedMs < graceMs) {
 			return [];
@@ -464,9 +464,9 @@
 		const effects: ControllerEffect[] = [];
 		for (const record of state.ledger.listOpenClaims()) {
 			const session = this.#sessions.get(record.host);
-			const isHeld = session !== undefined && record.attempt.startsWith(session.boot)
+			const isHostLive = session !== undefined && record.attempt.startsWith(session.boot)
 				&& session.leaseUntilMs + this.#timing.claimGraceMs > nowMs;
-			if (!isHeld && this.#mayPropose(`claim ${record.attempt}`, nowMs)) {
+			if (!isHostLive && this.#shouldPropose(`claim ${record.attempt}`, nowMs)) {
 				const outcome = record.key.startsWith(QUARANTINE_PREFIX) ? 'not-run' : 'unknown';
 				effects.push({
 					type: 'propose',
@@ -481,16 +481,16 @@
 	}
 
 	/** Keeps a proposal from being made again while it is on its way. */
-	#mayPropose(key: string, nowMs: number): boolean {
-		const lastMs = this.#proposed.get(key) ?? Number.NEGATIVE_INFINITY;
+	#shouldPropose(key: string, nowMs: number): boolean {
+		const lastMs = this.#lastProposedMs.get(key) ?? Number.NEGATIVE_INFINITY;
 		if (nowMs - lastMs < this.#timing.orderRetryMs) {
 			return false;
 		}
 
-		this.#proposed.set(key, nowMs);
-		for (const [other, atMs] of this.#proposed) {
+		this.#lastProposedMs.set(key, nowMs);
+		for (const [other, atMs] of this.#lastProposedMs) {
 			if (nowMs - atMs > this.#timing.orderRetryMs * 10) {
-				this.#proposed.delete(other);
+				this.#lastProposedMs.delete(other);
 			}
 		}
 
@@ -533,12 +533,12 @@
  * isNewer({...announcement, sequence: 8}, {...announcement, sequence: 7}); // true
  * ```
  */
-export function isNewerAnnouncement(candidate: Announcement, known: Announcement): boolean {
-	if (candidate.incarnation !== known.incarnation) {
-		return candidate.incarnation > known.incarnation;
+export function isNewerAnnouncement(candidate: Announcement, previous: Announcement): boolean {
+	if (candidate.incarnation !== previous.incarnation) {
+		return candidate.incarnation > previous.incarnation;
 	}
 
-	return candidate.sequence > known.sequence;
+	return candidate.sequence > previous.sequence;
 }
 
 /**
@@ -550,11 +550,11 @@
  * createRoleChange('stage-e3-1', {server: 'e3', role: 'prefill', reason: 'cold caches'}, authority);
  * ```
  */
-export function createRoleChange(name: string, change: {readonly server: string; readonly role: EngineRole; readonly reason: string}, authority: LeaseClock): Command {
+export function createRoleChange(name: string, change: {readonly server: string; readonly role: EngineRole; readonly reason: string}, clock: LeaseClock): Command {
 	const {server, role, reason} = change;
 	return {
 		type: 'put',
-		at: authority.wallMs,
+		at: clock.wallMs,
 		requestId: name,
 		name,
 		seen: 0,
@@ -564,7 +564,7 @@
 	};
 }
 
-function poolKey(engine: Announcement): string {
+function createPoolKey(engine: Announcement): string {
 	return [...engine.models ?? []].toSorted().join(' ');
 }
 
@@ -572,7 +572,7 @@
 function groupPools(engines: readonly Announcement[]): Announcement[][] {
 	const pools = new Map<string, Announcement[]>();
 	for (const engine of engines) {
-		const key = poolKey(engine);
+		const key = createPoolKey(engine);
 		pools.set(key, [...pools.get(key) ?? [], engine]);
 	}
 
--- a/src/control/ledger.ts
+++ b/src/control/ledger.ts
@@ -41,16 +41,16 @@
 export class Ledger {
 	readonly #claimBeforeSend: boolean;
 	readonly #records = new Map<string, LedgerRecord>();
-	readonly #abandoned = new Map<string, number>();
+	readonly #abandonedAttempts = new Map<string, number>();
 
-	constructor(image: LedgerSnapshot = EMPTY_LEDGER, claimBeforeSend = true) {
+	constructor(snapshot: LedgerSnapshot = EMPTY_LEDGER, claimBeforeSend = true) {
 		this.#claimBeforeSend = claimBeforeSend;
-		for (const record of image.records) {
+		for (const record of snapshot.records) {
 			this.#records.set(record.key, record);
 		}
 
-		for (const [attempt, atMs] of image.abandoned) {
-			this.#abandoned.set(attempt, atMs);
+		for (const [attempt, atMs] of snapshot.abandoned) {
+			this.#abandonedAttempts.set(attempt, atMs);
 		}
 	}
 
@@ -69,53 +69,53 @@
 
 	/** Grants the key to an attempt, or tells what became of it. */
 	claim(command: ClaimCommand): LedgerOutcome {
-		const known = this.#records.get(command.key);
-		if (this.#abandoned.has(command.attempt)) {
-			return createAnswer('not-run', command.attempt, command.host);
+		const existing = this.#records.get(command.key);
+		if (this.#abandonedAttempts.has(command.attempt)) {
+			return createOutcome('not-run', command.attempt, command.host);
 		}
 
-		if (!known || this.#mayRunAgain(known, command)) {
+		if (!existing || this.#canRunAgain(existing, command)) {
 			return this.#grant(command);
 		}
 
-		if (known.fingerprint !== command.fingerprint) {
-			return createAnswer('reused', known.attempt, known.host);
+		if (existing.fingerprint !== command.fingerprint) {
+			return createOutcome('reused', existing.attempt, existing.host);
 		}
 
-		if (known.attempt === command.attempt && known.state === LEDGER_STATES.claimed) {
-			return createAnswer('granted', known.attempt, known.host);
+		if (existing.attempt === command.attempt && existing.state === LEDGER_STATES.claimed) {
+			return createOutcome('granted', existing.attempt, existing.host);
 		}
 
-		const state = known.state === LEDGER_STATES.claimed ? 'in-flight' : known.state;
-		return createAnswer(state, known.attempt, known.host, known.answer);
+		const state = existing.state === LEDGER_STATES.claimed ? 'in-flight' : existing.state;
+		return createOutcome(state, existing.attempt, existing.host, existing.answer);
 	}
 
 	/** Records how an attempt ended. What is done stays done; an unknown end may still become known. */
 	settle(command: SettleCommand): LedgerOutcome {
-		const known = this.#records.get(command.key);
-		if (known?.attempt !== command.attempt) {
+		const existing = this.#records.get(command.key);
+		if (existing?.attempt !== command.attempt) {
 			if (command.outcome === 'not-run') {
 				// The claim may still be on its way; it must not be granted any more.
-				this.#abandoned.set(command.attempt, command.at);
+				this.#abandonedAttempts.set(command.attempt, command.at);
 			}
 
-			return createAnswer(command.outcome, command.attempt, '');
+			return createOutcome(command.outcome, command.attempt, '');
 		}
 
-		const isOpen = known.state === LEDGER_STATES.claimed || known.state === LEDGER_STATES.unknown;
+		const isOpen = existing.state === LEDGER_STATES.claimed || existing.state === LEDGER_STATES.unknown;
 		if (!isOpen) {
-			return createAnswer(known.state, known.attempt, known.host, known.answer);
+			return createOutcome(existing.state, existing.attempt, existing.host, existing.answer);
 		}
 
 		if (command.outcome === 'not-run') {
-			this.#abandoned.set(command.attempt, command.at);
+			this.#abandonedAttempts.set(command.attempt, command.at);
 		}
 
 		const settled: LedgerRecord = {
-			...known, state: command.outcome, settledAtMs: command.at, answer: command.answer,
+			...existing, state: command.outcome, settledAtMs: command.at, answer: command.answer,
 		};
 		this.#replace(settled);
-		return createAnswer(command.outcome, known.attempt, known.host, command.answer);
+		return createOutcome(command.outcome, existing.attempt, existing.host, command.answer);
 	}
 
 	/** Forgets what has been settled for longer than the retention. */
@@ -131,30 +131,30 @@
 			}
 		}
 
-		for (const [attempt, atMs] of this.#abandoned) {
+		for (const [attempt, atMs] of this.#abandonedAttempts) {
 			if (nowMs - atMs < LEDGER_RETENTION_MS) {
 				break;
 			}
 
-			this.#abandoned.delete(attempt);
+			this.#abandonedAttempts.delete(attempt);
 		}
 	}
 
 	createSnapshot(): LedgerSnapshot {
-		return {records: [...this.#records.values()], abandoned: [...this.#abandoned]};
+		return {records: [...this.#records.values()], abandoned: [...this.#abandonedAttempts]};
 	}
 
-	#mayRunAgain(known: LedgerRecord, command: ClaimCommand): boolean {
+	#canRunAgain(existing: LedgerRecord, command: ClaimCommand): boolean {
 		if (!this.#claimBeforeSend) {
-			return known.state === LEDGER_STATES.claimed;
+			return existing.state === LEDGER_STATES.claimed;
 		}
 
-		return known.state === LEDGER_STATES['not-run'] && known.attempt !== command.attempt;
+		return existing.state === LEDGER_STATES['not-run'] && existing.attempt !== command.attempt;
 	}
 
 	#grant(command: ClaimCommand): LedgerOutcome {
 		if (this.#records.size >= MAX_LEDGER_RECORDS) {
-			return createAnswer('not-run', command.attempt, command.host);
+			return createOutcome('not-run', command.attempt, command.host);
 		}
 
 		this.#replace({
@@ -166,7 +166,7 @@
 			claimedAtMs: command.at,
 			settledAtMs: 0,
 		});
-		return createAnswer('granted', command.attempt, command.host);
+		return createOutcome('granted', command.attempt, command.host);
 	}
 
 	/** Moves a record to the end, so that the order of the map is the order of settling. */
@@ -176,7 +176,7 @@
 	}
 }
 
-function createAnswer(state: LedgerOutcome['state'], attempt: string, host: string, answer?: StoredResponse): LedgerOutcome {
+function createOutcome(state: LedgerOutcome['state'], attempt: string, host: string, answer?: StoredResponse): LedgerOutcome {
 	return answer === undefined
 		? {
 			type: 'ledger', state, attempt, host,
--- a/src/control/order.ts
+++ b/src/control/order.ts
@@ -81,7 +81,7 @@
 		body: JSON.stringify({order: order.order, ...order.action}),
 		mayWrite: () => clock.monotonicMs() < notAfterMs,
 	});
-	return describeReply(reply, order);
+	return interpretReply(reply, order);
 }
 
 /**
@@ -97,19 +97,19 @@
 	const reply = await sendHttpRequest(server, {
 		method: 'GET', path: '/orders', body: '', mayWrite: () => true,
 	});
-	return describeReply(reply, order);
+	return interpretReply(reply, order);
 }
 
-function describeReply(reply: OrderReply | undefined, {server, order}: OpenOrder): OrderReport {
+function interpretReply(reply: OrderReply | undefined, {server, order}: OpenOrder): OrderReport {
 	if (!reply) {
 		return {type: 'lost', server, order};
 	}
 
 	const {body} = reply;
-	const highest = body.order ?? 0;
-	if (highest > order) {
+	const lastOrder = body.order ?? 0;
+	if (lastOrder > order) {
 		return {
-			type: 'failed', server, order, note: `${server} already holds order ${highest}.`,
+			type: 'failed', server, order, note: `${server} already holds order ${lastOrder}.`,
 		};
 	}
 
@@ -119,7 +119,7 @@
 		};
 	}
 
-	if (highest < order) {
+	if (lastOrder < order) {
 		return {type: 'absent', server, order};
 	}
 
--- a/src/control/reconfiguration.ts
+++ b/src/control/reconfiguration.ts
@@ -29,7 +29,7 @@
 };
 
 export const MAX_VOTERS = 7;
-const CATCH_UP_ENTRIES = 100;
+const MAX_CATCH_UP_LAG = 100;
 
 /**
  * Checks whether a change of members may begin.
@@ -39,37 +39,37 @@
  * checkRepair({remove: 'b'}, view); // Either.left(…) if the rest would have no live majority
  * ```
  */
-export function validateReconfiguration(repair: Reconfiguration, view: ConfigurationStatus, current: Reconfiguration | undefined): Either.Either<Problem, Reconfiguration> {
-	const {configuration} = view;
+export function validateReconfiguration(reconfiguration: Reconfiguration, status: ConfigurationStatus, current: Reconfiguration | undefined): Either.Either<Problem, Reconfiguration> {
+	const {configuration} = status;
 	const {voters, learners} = configuration;
 	const refuse = (text: string) => Either.left(createProblem('membershipRefused', text));
 	if (current) {
 		return refuse(`The repair is not finished: ${describeReconfiguration(current)}.`);
 	}
 
-	if (!view.isCommitted || configuration.outgoing.length > 0) {
+	if (!status.isCommitted || configuration.outgoing.length > 0) {
 		return refuse('An earlier configuration is not committed yet.');
 	}
 
-	if (repair.remove !== undefined && ![...voters, ...learners].some(member => member.replica === repair.remove)) {
-		return refuse(`No replica ${repair.remove}.`);
+	if (reconfiguration.remove !== undefined && ![...voters, ...learners].some(member => member.replica === reconfiguration.remove)) {
+		return refuse(`No replica ${reconfiguration.remove}.`);
 	}
 
-	if (repair.add && voters.some(member => member.replica === repair.add!.replica)) {
-		return refuse(`Replica ${repair.add.replica} votes already.`);
+	if (reconfiguration.add && voters.some(member => member.replica === reconfiguration.add!.replica)) {
+		return refuse(`Replica ${reconfiguration.add.replica} votes already.`);
 	}
 
-	const next = nextVoters(configuration, repair);
-	if (next.length === 0 || next.length > MAX_VOTERS) {
-		return refuse(`There would be ${next.length} voters.`);
+	const nextVoters = computeNextVoters(configuration, reconfiguration);
+	if (nextVoters.length === 0 || nextVoters.length > MAX_VOTERS) {
+		return refuse(`There would be ${nextVoters.length} voters.`);
 	}
 
-	const alive = next.filter(member => member.replica === repair.add?.replica || view.getProgress(member.replica).alive);
-	if (alive.length * 2 <= next.length) {
-		return refuse(`Only ${alive.length} of ${next.length} voters would be alive; the quorum would be lost.`);
+	const alive = nextVoters.filter(member => member.replica === reconfiguration.add?.replica || status.getProgress(member.replica).alive);
+	if (alive.length * 2 <= nextVoters.length) {
+		return refuse(`Only ${alive.length} of ${nextVoters.length} voters would be alive; the quorum would be lost.`);
 	}
 
-	return Either.right(repair);
+	return Either.right(reconfiguration);
 }
 
 /**
@@ -80,30 +80,30 @@
  * nextConfiguration({add: member}, view)?.learners; // [member]
  * ```
  */
-export function planNextConfiguration(repair: Reconfiguration, view: ConfigurationStatus): Configuration | undefined {
-	const {configuration} = view;
-	if (!view.isCommitted || configuration.outgoing.length > 0 || isReconfigurationComplete(repair, view)) {
+export function planNextConfiguration(reconfiguration: Reconfiguration, status: ConfigurationStatus): Configuration | undefined {
+	const {configuration} = status;
+	if (!status.isCommitted || configuration.outgoing.length > 0 || isReconfigurationComplete(reconfiguration, status)) {
 		return undefined;
 	}
 
 	const {voters, learners} = configuration;
-	const {add} = repair;
+	const {add} = reconfiguration;
 	const isNew = add && ![...voters, ...learners].some(member => member.replica === add.replica);
 	if (isNew) {
 		return {voters, outgoing: [], learners: [...learners, add]};
 	}
 
 	if (add && learners.some(member => member.replica === add.replica)) {
-		const {matchIndex, alive} = view.getProgress(add.replica);
-		if (!alive || matchIndex < view.commitIndex - CATCH_UP_ENTRIES) {
+		const {matchIndex, alive} = status.getProgress(add.replica);
+		if (!alive || matchIndex < status.commitIndex - MAX_CATCH_UP_LAG) {
 			return undefined;
 		}
 	}
 
-	const rest = learners.filter(member => member.replica !== add?.replica && member.replica !== repair.remove);
-	const next = nextVoters(configuration, repair);
-	const isSame = next.length === voters.length && next.every(member => voters.some(voter => voter.replica === member.replica));
-	return {voters: next, outgoing: isSame ? [] : voters, learners: rest};
+	const remainingLearners = learners.filter(member => member.replica !== add?.replica && member.replica !== reconfiguration.remove);
+	const nextVoters = computeNextVoters(configuration, reconfiguration);
+	const isSame = nextVoters.length === voters.length && nextVoters.every(member => voters.some(voter => voter.replica === member.replica));
+	return {voters: nextVoters, outgoing: isSame ? [] : voters, learners: remainingLearners};
 }
 
 /**
@@ -114,13 +114,13 @@
  * isRepaired({add: member}, view);
  * ```
  */
-export function isReconfigurationComplete(repair: Reconfiguration, view: ConfigurationStatus): boolean {
-	const {configuration} = view;
+export function isReconfigurationComplete(reconfiguration: Reconfiguration, status: ConfigurationStatus): boolean {
+	const {configuration} = status;
 	const {voters, learners} = configuration;
-	const isIn = !repair.add || voters.some(member => member.replica === repair.add!.replica);
-	const isOut = repair.remove === undefined || ![...voters, ...learners].some(member => member.replica === repair.remove);
-	const holdsAll = !repair.add || view.getProgress(repair.add.replica).matchIndex >= view.commitIndex;
-	return view.isCommitted && configuration.outgoing.length === 0 && isIn && isOut && holdsAll;
+	const isAdded = !reconfiguration.add || voters.some(member => member.replica === reconfiguration.add!.replica);
+	const isRemoved = reconfiguration.remove === undefined || ![...voters, ...learners].some(member => member.replica === reconfiguration.remove);
+	const isCaughtUp = !reconfiguration.add || status.getProgress(reconfiguration.add.replica).matchIndex >= status.commitIndex;
+	return status.isCommitted && configuration.outgoing.length === 0 && isAdded && isRemoved && isCaughtUp;
 }
 
 /**
@@ -131,16 +131,16 @@
  * describeRepair({add: member, remove: '6f1c'}); // 'host c2 takes the place of replica 6f1c'
  * ```
  */
-export function describeReconfiguration(repair: Reconfiguration): string {
-	if (repair.add && repair.remove !== undefined) {
-		return `host ${repair.add.host} takes the place of replica ${repair.remove}`;
+export function describeReconfiguration(reconfiguration: Reconfiguration): string {
+	if (reconfiguration.add && reconfiguration.remove !== undefined) {
+		return `host ${reconfiguration.add.host} takes the place of replica ${reconfiguration.remove}`;
 	}
 
-	return repair.add ? `host ${repair.add.host} is added` : `replica ${repair.remove ?? ''} is removed`;
+	return reconfiguration.add ? `host ${reconfiguration.add.host} is added` : `replica ${reconfiguration.remove ?? ''} is removed`;
 }
 
-function nextVoters(configuration: Configuration, repair: Reconfiguration): Member[] {
-	const kept = configuration.voters.filter(member => member.replica !== repair.remove);
-	const isIn = kept.some(member => member.replica === repair.add?.replica);
-	return repair.add && !isIn ? [...kept, repair.add] : kept;
+function computeNextVoters(configuration: Configuration, reconfiguration: Reconfiguration): Member[] {
+	const remainingVoters = configuration.voters.filter(member => member.replica !== reconfiguration.remove);
+	const isAdded = remainingVoters.some(member => member.replica === reconfiguration.add?.replica);
+	return reconfiguration.add && !isAdded ? [...remainingVoters, reconfiguration.add] : remainingVoters;
 }
--- a/src/control/reconfigurator.ts
+++ b/src/control/reconfigurator.ts
@@ -34,9 +34,9 @@
 /** The repairs of one term of leadership. */
 export class Reconfigurator {
 	readonly #timing: ReconfigurationTiming;
-	readonly #aliveMs = new Map<string, number>();
+	readonly #lastAliveMs = new Map<string, number>();
 	#current: Reconfiguration | undefined;
-	#progressMs = 0;
+	#lastProgressMs = 0;
 
 	constructor(timing = DEFAULT_RECONFIGURATION_TIMING) {
 		this.#timing = timing;
@@ -47,83 +47,83 @@
 	}
 
 	/** Begins a repair, unless it would endanger the quorum or another one is under way. */
-	start(repair: Reconfiguration, view: ConfigurationStatus, nowMs: number): Either.Either<Problem, Reconfiguration> {
-		const checked = validateReconfiguration(repair, view, this.#current);
-		if (Either.isRight(checked)) {
-			this.#current = repair;
-			this.#progressMs = nowMs;
+	start(reconfiguration: Reconfiguration, status: ConfigurationStatus, nowMs: number): Either.Either<Problem, Reconfiguration> {
+		const validated = validateReconfiguration(reconfiguration, status, this.#current);
+		if (Either.isRight(validated)) {
+			this.#current = reconfiguration;
+			this.#lastProgressMs = nowMs;
 		}
 
-		return checked;
+		return validated;
 	}
 
 	/** Finds the repair that takes a control host in; undefined while it is not wanted. */
-	planJoin(member: Member, view: ConfigurationStatus, nowMs: number): Reconfiguration | undefined {
-		const {voters, learners} = view.configuration;
+	planJoin(member: Member, status: ConfigurationStatus, nowMs: number): Reconfiguration | undefined {
+		const {voters, learners} = status.configuration;
 		if (this.#current !== undefined || voters.some(voter => voter.replica === member.replica)) {
 			return undefined;
 		}
 
-		const former = voters.find(voter => isSamePlace(voter, member));
-		if (former) {
-			return {add: member, remove: former.replica};
+		const previous = voters.find(voter => isSameAddress(voter, member));
+		if (previous) {
+			return {add: member, remove: previous.replica};
 		}
 
-		const stale = learners.find(learner => learner.replica !== member.replica && isSamePlace(learner, member));
-		if (stale) {
-			return {remove: stale.replica};
+		const staleLearner = learners.find(learner => learner.replica !== member.replica && isSameAddress(learner, member));
+		if (staleLearner) {
+			return {remove: staleLearner.replica};
 		}
 
 		if (voters.length < TARGET_VOTERS) {
 			return {add: member};
 		}
 
-		const lost = voters.find(voter => this.#awayMs(voter.replica, nowMs) > this.#timing.replaceAfterMs);
-		return lost && {add: member, remove: lost.replica};
+		const lostVoter = voters.find(voter => this.#getDowntimeMs(voter.replica, nowMs) > this.#timing.replaceAfterMs);
+		return lostVoter && {add: member, remove: lostVoter.replica};
 	}
 
 	/** Carries the current repair one step on. */
-	tick(view: ConfigurationStatus, nowMs: number): ReconfigurationEvent | undefined {
-		this.#noteAlive(view, nowMs);
-		const repair = this.#current;
-		if (!repair) {
+	tick(status: ConfigurationStatus, nowMs: number): ReconfigurationEvent | undefined {
+		this.#recordAliveVoters(status, nowMs);
+		const reconfiguration = this.#current;
+		if (!reconfiguration) {
 			return undefined;
 		}
 
-		if (isReconfigurationComplete(repair, view)) {
+		if (isReconfigurationComplete(reconfiguration, status)) {
 			this.#current = undefined;
-			return {type: 'finished', reconfiguration: repair};
+			return {type: 'finished', reconfiguration};
 		}
 
-		const configuration = planNextConfiguration(repair, view);
+		const configuration = planNextConfiguration(reconfiguration, status);
 		if (configuration) {
-			this.#progressMs = nowMs;
+			this.#lastProgressMs = nowMs;
 			return {type: 'propose-configuration', configuration};
 		}
 
-		const isWaitingForNew = repair.add !== undefined && !view.getProgress(repair.add.replica).alive;
-		const isSettled = view.isCommitted && view.configuration.outgoing.length === 0;
-		if (isWaitingForNew && isSettled && nowMs - this.#progressMs > this.#timing.abandonAfterMs) {
+		const isNewReplicaDown = reconfiguration.add !== undefined && !status.getProgress(reconfiguration.add.replica).alive;
+		const isStable = status.isCommitted && status.configuration.outgoing.length === 0;
+		if (isNewReplicaDown && isStable && nowMs - this.#lastProgressMs > this.#timing.abandonAfterMs) {
 			this.#current = undefined;
-			return {type: 'abandoned', reconfiguration: repair};
+			return {type: 'abandoned', reconfiguration};
 		}
 
 		return undefined;
 	}
 
-	#noteAlive(view: ConfigurationStatus, nowMs: number): void {
-		for (const {replica} of view.configuration.voters) {
-			if (view.getProgress(replica).alive || !this.#aliveMs.has(replica)) {
-				this.#aliveMs.set(replica, nowMs);
+	#recordAliveVoters(status: ConfigurationStatus, nowMs: number): void {
+		for (const {replica} of status.configuration.voters) {
+			if (status.getProgress(replica).alive || !this.#lastAliveMs.has(replica)) {
+				this.#lastAliveMs.set(replica, nowMs);
 			}
 		}
 	}
 
-	#awayMs(replica: string, nowMs: number): number {
-		return nowMs - (this.#aliveMs.get(replica) ?? nowMs);
+	#getDowntimeMs(replica: string, nowMs: number): number {
+		return nowMs - (this.#lastAliveMs.get(replica) ?? nowMs);
 	}
 }
 
-function isSamePlace(a: Member, b: Member): boolean {
+function isSameAddress(a: Member, b: Member): boolean {
 	return a.address === b.address && a.port === b.port;
 }
--- a/src/control/service.ts
+++ b/src/control/service.ts
@@ -57,7 +57,7 @@
 	readonly canBootstrap?: boolean;
 };
 
-type Subscriber = {
+type ViewSubscriber = {
 	connection: Connection;
 	sentVersion: number;
 };
@@ -67,7 +67,7 @@
 const HELLO_TIMEOUT_MS = 500;
 const JOIN_INTERVAL_MS = 500;
 /** Drift between the steady clock and the time of day, from one look to the next, that means a sleep or a step. */
-const CLOCK_JUMP_MS = 100;
+const CLOCK_JUMP_THRESHOLD_MS = 100;
 
 /** The running control role. Whoever started it closes it. */
 export class ControlService {
@@ -75,19 +75,19 @@
 	readonly #logger: Logger;
 	readonly #replica: string;
 	readonly #storage: Storage;
-	readonly #orders: OrderTransport;
-	readonly #subscribers = new Map<string, Subscriber>();
+	readonly #orderTransport: OrderTransport;
+	readonly #subscribers = new Map<string, ViewSubscriber>();
 	#state = new ControlState();
 	#node: ConsensusNode | undefined;
 	#controller: Controller | undefined;
-	#repairs = new Reconfigurator();
+	#reconfigurator = new Reconfigurator();
 	#timer: NodeJS.Timeout | undefined;
 	#joinTimer: NodeJS.Timeout | undefined;
 	#joinPool: ConnectionPool | undefined;
 	#leaderTerm = 0;
 	#isDiskFailing = false;
 	#clockOffsetMs: number | undefined;
-	#distrustUntilMs = Number.NEGATIVE_INFINITY;
+	#distrustLeaseUntilMs = Number.NEGATIVE_INFINITY;
 	#isClosed = false;
 
 	private constructor(options: ControlServiceOptions, replica: string, storage: Storage) {
@@ -95,7 +95,7 @@
 		this.#logger = options.loggers('control');
 		this.#replica = replica;
 		this.#storage = storage;
-		this.#orders = options.orderTransport ?? new HttpOrderTransport(options.clock);
+		this.#orderTransport = options.orderTransport ?? new HttpOrderTransport(options.clock);
 	}
 
 	/**
@@ -124,7 +124,7 @@
 
 		const service = new ControlService(options, replica.right, storage.right);
 		holder.service = service;
-		service.#begin();
+		service.#start();
 		return Either.right(service);
 	}
 
@@ -242,12 +242,12 @@
 		await (this.#node ? this.#node.close() : this.#storage.close());
 	}
 
-	#begin(): void {
+	#start(): void {
 		const {snapshot, entries} = this.#storage.persistentState;
 		this.#timer = setInterval(() => {
 			this.#tick();
 		}, CONTROLLER_TICK_MS);
-		this.#askToJoin();
+		this.#requestJoin();
 		if (snapshot.configuration.voters.length > 0 || entries.length > 0) {
 			this.#startNode();
 			return;
@@ -259,7 +259,7 @@
 	}
 
 	/** Asks to be taken in until this replica votes; the leader alone answers, by doing it. */
-	#askToJoin(): void {
+	#requestJoin(): void {
 		const {self} = this.#options;
 		if (!self) {
 			return;
@@ -285,10 +285,10 @@
 
 	async #bootstrap(): Promise<void> {
 		while (!this.#node && !this.#isClosed) {
-			const answers = await this.#askPeers();
+			const replies = await this.#requestWelcomes();
 			const self = {host: this.#options.host, replica: this.#replica};
-			const configuration = createInitialConfiguration(self, this.#options.peers, answers)
-				?? findInitialConfiguration(this.#replica, this.#options.peers, answers);
+			const configuration = createInitialConfiguration(self, this.#options.peers, replies)
+				?? findInitialConfiguration(this.#replica, this.#options.peers, replies);
 			if (configuration && !this.#node) {
 				this.#logger.info('Starts from the first configuration.', {voters: configuration.voters.map(({host}) => host)});
 				this.#startNode(configuration);
@@ -301,16 +301,16 @@
 		}
 	}
 
-	async #askPeers(): Promise<BootstrapReply[]> {
+	async #requestWelcomes(): Promise<BootstrapReply[]> {
 		const others = this.#options.peers.filter(peer => peer.host !== this.#options.host);
-		const answers = await Promise.all(others.map(async peer => {
-			const welcome = await askHello(peer);
+		const replies = await Promise.all(others.map(async peer => {
+			const welcome = await requestWelcome(peer);
 			return welcome && {peer, welcome};
 		}));
-		return answers.filter(answer => answer !== undefined);
+		return replies.filter(answer => answer !== undefined);
 	}
 
-	#startNode(first?: Configuration): void {
+	#startNode(initialConfiguration?: Configuration): void {
 		if (this.#node !== undefined || this.#isClosed) {
 			return;
 		}
@@ -326,14 +326,14 @@
 				this.#state = new ControlState(decodeValue(data) as ControlStateSnapshot);
 			},
 		};
-		const configured = first ? {...EMPTY_SNAPSHOT, configuration: first} : snapshot;
-		if (first) {
-			this.#storage.write(0, [{type: 'snapshot', snapshot: configured}]);
+		const initialSnapshot = initialConfiguration ? {...EMPTY_SNAPSHOT, configuration: initialConfiguration} : snapshot;
+		if (initialConfiguration) {
+			this.#storage.write(0, [{type: 'snapshot', snapshot: initialSnapshot}]);
 		}
 
 		this.#node = new ConsensusNode({
 			replica: this.#replica,
-			persistentState: {hard, snapshot: configured, entries},
+			persistentState: {hard, snapshot: initialSnapshot, entries},
 			storage: this.#storage,
 			stateMachine: machine,
 			clock: this.#options.clock,
@@ -357,12 +357,12 @@
 		if (role === 'leader') {
 			this.#leaderTerm = term;
 			this.#controller = new Controller(this.#options.clock.monotonicMs(), this.#options.controllerTiming, this.#options.orderSafeguards);
-			this.#repairs = new Reconfigurator();
+			this.#reconfigurator = new Reconfigurator();
 			return;
 		}
 
 		this.#controller = undefined;
-		this.#repairs = new Reconfigurator();
+		this.#reconfigurator = new Reconfigurator();
 		this.#subscribers.clear();
 	}
 
@@ -392,42 +392,42 @@
 			return;
 		}
 
-		const authority = this.#authority();
+		const leaseClock = this.#readLeaseClock();
 		const engines = this.#options.listEngines?.() ?? [];
 		for (const engine of engines) {
-			this.#controller.observe(engine, authority.nowMs);
+			this.#controller.observe(engine, leaseClock.nowMs);
 		}
 
 		const effects = [
-			...this.#controller.tick(this.#state, authority),
-			...this.#controller.planRoleChanges(this.#state, engines, authority),
+			...this.#controller.tick(this.#state, leaseClock),
+			...this.#controller.planRoleChanges(this.#state, engines, leaseClock),
 		];
 		for (const effect of effects) {
-			void this.#run(effect);
+			void this.#runEffect(effect);
 		}
 
-		this.#tickRepair(node);
+		this.#tickReconfiguration(node);
 	}
 
-	#authority(): LeaseClock {
+	#readLeaseClock(): LeaseClock {
 		const nowMs = this.#options.clock.monotonicMs();
 		const wallMs = this.#options.clock.wallMs();
-		this.#watchClocks(nowMs, wallMs);
-		const leaseUntilMs = nowMs < this.#distrustUntilMs ? Number.NEGATIVE_INFINITY : this.#node?.getLeaseExpiryMs() ?? Number.NEGATIVE_INFINITY;
+		this.#detectClockJump(nowMs, wallMs);
+		const leaseUntilMs = nowMs < this.#distrustLeaseUntilMs ? Number.NEGATIVE_INFINITY : this.#node?.getLeaseExpiryMs() ?? Number.NEGATIVE_INFINITY;
 		return {nowMs, wallMs, leaseUntilMs};
 	}
 
 	/** A machine that slept has a steady clock that stood still: its lease is over though it does not look so. */
-	#watchClocks(nowMs: number, wallMs: number): void {
+	#detectClockJump(nowMs: number, wallMs: number): void {
 		const offsetMs = wallMs - nowMs;
-		if (Math.abs(offsetMs - (this.#clockOffsetMs ?? offsetMs)) > CLOCK_JUMP_MS) {
-			this.#distrustUntilMs = nowMs + (this.#node?.replica.timing.electionMs ?? 0);
+		if (Math.abs(offsetMs - (this.#clockOffsetMs ?? offsetMs)) > CLOCK_JUMP_THRESHOLD_MS) {
+			this.#distrustLeaseUntilMs = nowMs + (this.#node?.replica.timing.electionMs ?? 0);
 		}
 
 		this.#clockOffsetMs = offsetMs;
 	}
 
-	async #run(effect: ControllerEffect): Promise<void> {
+	async #runEffect(effect: ControllerEffect): Promise<void> {
 		if (effect.type === 'propose') {
 			this.#logProposal(effect.command);
 			await this.#node?.propose(encodeValue(effect.command));
@@ -440,8 +440,8 @@
 			order: order.order, server: order.server, action: order.action, checksFence: server.checksFence ?? false,
 		});
 		const report = effect.type === 'send-order'
-			? await this.#orders.send(effect)
-			: await this.#orders.queryOrder(server, order, effect.isOwn);
+			? await this.#orderTransport.send(effect)
+			: await this.#orderTransport.queryOrder(server, order, effect.isOwn);
 		this.#onReport(report, term);
 	}
 
@@ -451,8 +451,8 @@
 		}
 
 		this.#logger.info(`Order ${report.order} at ${report.server} is ${report.type}.`, {...report});
-		for (const effect of this.#controller.handleReport(report, this.#authority())) {
-			void this.#run(effect);
+		for (const effect of this.#controller.handleReport(report, this.#readLeaseClock())) {
+			void this.#runEffect(effect);
 		}
 	}
 
@@ -507,7 +507,7 @@
 		}
 
 		const leaseMs = this.#controller.renewViewLease(message, this.#options.clock.monotonicMs());
-		const subscriber: Subscriber = {connection, sentVersion: message.version};
+		const subscriber: ViewSubscriber = {connection, sentVersion: message.version};
 		this.#subscribers.set(message.host, subscriber);
 		this.#sendView(subscriber, message.id, leaseMs);
 		if (message.leaving) {
@@ -515,7 +515,7 @@
 		}
 	}
 
-	#sendView(subscriber: Subscriber, id: number, leaseMs: number): void {
+	#sendView(subscriber: ViewSubscriber, id: number, leaseMs: number): void {
 		const view = this.#state.createViewUpdate(subscriber.sentVersion);
 		subscriber.sentVersion = view.version;
 		subscriber.connection.send({
@@ -531,10 +531,10 @@
 		}
 
 		if (message.action !== 'list') {
-			const repair = await this.#planRepair(message);
-			const begun = Either.isLeft(repair) ? repair : this.#beginRepair(repair.right, node);
-			if (Either.isLeft(begun)) {
-				this.#refuse(message.id, begun.left, connection);
+			const reconfiguration = await this.#planReconfiguration(message);
+			const started = Either.isLeft(reconfiguration) ? reconfiguration : this.#startReconfiguration(reconfiguration.right, node);
+			if (Either.isLeft(started)) {
+				this.#refuse(message.id, started.left, connection);
 				return;
 			}
 		}
@@ -542,7 +542,7 @@
 		connection.send(this.#createMembersReply(message.id, node));
 	}
 
-	async #planRepair(message: MembersRequest): Promise<Either.Either<Problem, Reconfiguration>> {
+	async #planReconfiguration(message: MembersRequest): Promise<Either.Either<Problem, Reconfiguration>> {
 		if (message.action === 'remove') {
 			return Either.right({remove: message.replica ?? ''});
 		}
@@ -551,7 +551,7 @@
 			return Either.left(createProblem('membershipRefused', 'No host was named.'));
 		}
 
-		const welcome = await askHello(message.member);
+		const welcome = await requestWelcome(message.member);
 		if (!welcome) {
 			return Either.left(createProblem('membershipRefused', `Host ${message.member.host} does not answer.`));
 		}
@@ -566,24 +566,24 @@
 			return;
 		}
 
-		const repair = this.#repairs.planJoin(member, this.#membersView(node), this.#options.clock.monotonicMs());
-		if (repair) {
-			this.#beginRepair(repair, node);
+		const reconfiguration = this.#reconfigurator.planJoin(member, this.#getConfigurationStatus(node), this.#options.clock.monotonicMs());
+		if (reconfiguration) {
+			this.#startReconfiguration(reconfiguration, node);
 		}
 	}
 
-	#beginRepair(repair: Reconfiguration, node: ConsensusNode): Either.Either<Problem, Reconfiguration> {
-		const begun = this.#repairs.start(repair, this.#membersView(node), this.#options.clock.monotonicMs());
-		if (Either.isRight(begun)) {
-			this.#logger.info(`Begins a repair: ${describeReconfiguration(repair)}.`);
-			this.#tickRepair(node);
+	#startReconfiguration(reconfiguration: Reconfiguration, node: ConsensusNode): Either.Either<Problem, Reconfiguration> {
+		const started = this.#reconfigurator.start(reconfiguration, this.#getConfigurationStatus(node), this.#options.clock.monotonicMs());
+		if (Either.isRight(started)) {
+			this.#logger.info(`Begins a repair: ${describeReconfiguration(reconfiguration)}.`);
+			this.#tickReconfiguration(node);
 		}
 
-		return begun;
+		return started;
 	}
 
-	#tickRepair(node: ConsensusNode): void {
-		const event = this.#repairs.tick(this.#membersView(node), this.#options.clock.monotonicMs());
+	#tickReconfiguration(node: ConsensusNode): void {
+		const event = this.#reconfigurator.tick(this.#getConfigurationStatus(node), this.#options.clock.monotonicMs());
 		if (event?.type === 'propose-configuration') {
 			node.proposeConfiguration(event.configuration);
 		} else if (event) {
@@ -591,7 +591,7 @@
 		}
 	}
 
-	#membersView(node: ConsensusNode): ConfigurationStatus {
+	#getConfigurationStatus(node: ConsensusNode): ConfigurationStatus {
 		const nowMs = this.#options.clock.monotonicMs();
 		return {
 			configuration: node.replica.configuration,
@@ -602,17 +602,17 @@
 	}
 
 	#createMembersReply(id: number, node: ConsensusNode): MembersReply {
-		const view = this.#membersView(node);
-		const progress = listMembers(view.configuration).map(({replica}) => ({replica, ...view.getProgress(replica)}));
-		const {current} = this.#repairs;
+		const status = this.#getConfigurationStatus(node);
+		const progress = listMembers(status.configuration).map(({replica}) => ({replica, ...status.getProgress(replica)}));
+		const {current} = this.#reconfigurator;
 		const repair = current ? {repair: describeReconfiguration(current)} : {};
 		return {
 			type: 'members-reply',
 			id,
-			configuration: view.configuration,
+			configuration: status.configuration,
 			leader: this.#replica,
 			term: node.replica.term,
-			commitIndex: view.commitIndex,
+			commitIndex: status.commitIndex,
 			progress,
 			...repair,
 		};
@@ -635,7 +635,7 @@
 }
 
 /** Asks a control host who it is; undefined if it does not answer. */
-async function askHello(peer: Peer): Promise<Welcome | undefined> {
+async function requestWelcome(peer: Peer): Promise<Welcome | undefined> {
 	return new Promise(resolve => {
 		const connection = connect(peer, message => {
 			if (message.type === 'welcome') {
--- a/src/control/state.ts
+++ b/src/control/state.ts
@@ -52,9 +52,9 @@
 /** Version that matches whatever is there. */
 export const ANY_VERSION = -1;
 const REQUEST_RETENTION_MS = 60 * 60 * 1000;
-const MAX_REQUESTS = 20_000;
+const MAX_REMEMBERED_REQUESTS = 20_000;
 const MAX_REMOVALS = 2000;
-const EMPTY_IMAGE: ControlStateSnapshot = {
+const EMPTY_STATE: ControlStateSnapshot = {
 	version: 0, viewVersion: 0, clockMs: 0, resources: [], removals: [], removalFloor: 0, orders: [], requests: [], ledger: {records: [], abandoned: []},
 };
 
@@ -70,22 +70,22 @@
 	#viewVersion: number;
 	#clockMs: number;
 
-	constructor(image: ControlStateSnapshot = EMPTY_IMAGE, claimBeforeSend = true) {
-		this.ledger = new Ledger(image.ledger, claimBeforeSend);
-		this.#version = image.version;
-		this.#viewVersion = image.viewVersion;
-		this.#clockMs = image.clockMs;
-		this.#removals = [...image.removals];
-		this.#removalFloor = image.removalFloor;
-		for (const resource of image.resources) {
+	constructor(snapshot: ControlStateSnapshot = EMPTY_STATE, claimBeforeSend = true) {
+		this.ledger = new Ledger(snapshot.ledger, claimBeforeSend);
+		this.#version = snapshot.version;
+		this.#viewVersion = snapshot.viewVersion;
+		this.#clockMs = snapshot.clockMs;
+		this.#removals = [...snapshot.removals];
+		this.#removalFloor = snapshot.removalFloor;
+		for (const resource of snapshot.resources) {
 			this.#resources.set(createResourceKey(resource.specification.kind, resource.name), resource);
 		}
 
-		for (const order of image.orders) {
+		for (const order of snapshot.orders) {
 			this.#orders.set(order.server, order);
 		}
 
-		for (const request of image.requests) {
+		for (const request of snapshot.requests) {
 			this.#requests.set(request.requestId, request);
 		}
 	}
@@ -133,7 +133,7 @@
 	apply(command: Command, index: number): CommandOutcome {
 		this.#version = index;
 		this.#clockMs = Math.max(this.#clockMs, command.at);
-		this.#expire();
+		this.#removeExpired();
 		return this.#dispatch({...command, at: this.#clockMs}, index);
 	}
 
@@ -175,11 +175,11 @@
 	#dispatch(command: Command, index: number): CommandOutcome {
 		switch (command.type) {
 			case 'put': {
-				return this.#once(command.requestId, command.at, () => this.#put(command, index));
+				return this.#runOnce(command.requestId, command.at, () => this.#put(command, index));
 			}
 
 			case 'remove': {
-				return this.#once(command.requestId, command.at, () => this.#remove(command, index));
+				return this.#runOnce(command.requestId, command.at, () => this.#remove(command, index));
 			}
 
 			case 'claim': {
@@ -205,10 +205,10 @@
 	}
 
 	/** A request that is sent again gets the answer it got the first time. */
-	#once(requestId: string, atMs: number, run: () => CommandOutcome): CommandOutcome {
-		const known = this.#requests.get(requestId);
-		if (known) {
-			return known.outcome;
+	#runOnce(requestId: string, atMs: number, run: () => CommandOutcome): CommandOutcome {
+		const existing = this.#requests.get(requestId);
+		if (existing) {
+			return existing.outcome;
 		}
 
 		const outcome = run();
@@ -218,9 +218,9 @@
 
 	#put(command: PutCommand, index: number): CommandOutcome {
 		const {specification, name, seen} = command;
-		const known = this.#resources.get(createResourceKey(specification.kind, name));
-		const current = known?.version ?? 0;
-		if (specification.kind === 'publication' && known?.specification.kind === 'publication' && known.specification.version >= specification.version) {
+		const existing = this.#resources.get(createResourceKey(specification.kind, name));
+		const current = existing?.version ?? 0;
+		if (specification.kind === 'publication' && existing?.specification.kind === 'publication' && existing.specification.version >= specification.version) {
 			// What was published later stays in force, whichever arrives first.
 			return {type: 'accepted', version: current};
 		}
@@ -230,26 +230,26 @@
 		}
 
 		if (specification.kind !== 'change') {
-			this.#store({name, version: index, specification});
+			this.#storeResource({name, version: index, specification});
 			return {type: 'accepted', version: index};
 		}
 
-		return this.#declareChange(command, specification, known, index);
+		return this.#declareChange(command, specification, existing, index);
 	}
 
-	#declareChange(command: PutCommand, specification: ChangeSpecification, known: Resource | undefined, index: number): CommandOutcome {
-		if (known) {
-			return createConflict('versionConflict', known.version, 'A planned change is not altered; delete it and declare another.');
+	#declareChange(command: PutCommand, specification: ChangeSpecification, existing: Resource | undefined, index: number): CommandOutcome {
+		if (existing) {
+			return createConflict('versionConflict', existing.version, 'A planned change is not altered; delete it and declare another.');
 		}
 
-		const other = this.listOpenChanges().find(resource => concernsServer(resource, specification));
+		const other = this.listOpenChanges().find(resource => involvesSameServer(resource, specification));
 		if (other) {
 			return createConflict('engineBusy', other.version, `Change ${other.name} is not finished.`);
 		}
 
 		const note = `Declared: ${describeChange(specification)}. No new work is sent there from now on.`;
 		const status: ChangeStatus = {phase: CHANGE_PHASES.draining, history: [{at: command.at, phase: CHANGE_PHASES.draining, note}]};
-		this.#store({
+		this.#storeResource({
 			name: command.name, version: index, specification, status,
 		});
 		return {type: 'accepted', version: index};
@@ -257,13 +257,13 @@
 
 	#remove(command: RemoveCommand, index: number): CommandOutcome {
 		const key = `${command.kind}/${command.name}`;
-		const known = this.#resources.get(key);
-		const current = known?.version ?? 0;
-		if (!known || (command.seen !== ANY_VERSION && command.seen !== current)) {
+		const existing = this.#resources.get(key);
+		const current = existing?.version ?? 0;
+		if (!existing || (command.seen !== ANY_VERSION && command.seen !== current)) {
 			return createConflict('versionConflict', current, `It has version ${current}, you saw ${command.seen}.`);
 		}
 
-		if (known.status?.phase === CHANGE_PHASES.ordered) {
+		if (existing.status?.phase === CHANGE_PHASES.ordered) {
 			return createConflict('engineBusy', current, 'Its order has gone out and is not settled yet.');
 		}
 
@@ -283,7 +283,7 @@
 			return createConflict('versionConflict', resource?.version ?? 0, 'The change is in another phase.');
 		}
 
-		this.#enter(resource, {at: command.at, phase: command.phase, note: command.note}, index);
+		this.#enterPhase(resource, {at: command.at, phase: command.phase, note: command.note}, index);
 		return {type: 'accepted', version: index};
 	}
 
@@ -297,44 +297,44 @@
 			server: command.server, order: index, change: command.change, action: command.action,
 		});
 		const note = `Order ${index} to ${command.server}: ${describeAction(command.action)}.`;
-		this.#enter(resource, {at: command.at, phase: CHANGE_PHASES.ordered, note}, index, index);
+		this.#enterPhase(resource, {at: command.at, phase: CHANGE_PHASES.ordered, note}, index, index);
 		return {type: 'accepted', version: index};
 	}
 
 	#settleOrder(command: SettleOrderCommand, index: number): CommandOutcome {
-		const open = this.#orders.get(command.server);
-		if (open?.order !== command.order) {
-			return createConflict('versionConflict', open?.order ?? 0, 'That order is not open.');
+		const openOrder = this.#orders.get(command.server);
+		if (openOrder?.order !== command.order) {
+			return createConflict('versionConflict', openOrder?.order ?? 0, 'That order is not open.');
 		}
 
 		this.#orders.delete(command.server);
-		const resource = this.findResource('change', open.change);
+		const resource = this.findResource('change', openOrder.change);
 		if (resource) {
 			const phase = command.outcome === 'done' ? CHANGE_PHASES.done : CHANGE_PHASES.failed;
-			this.#enter(resource, {at: command.at, phase, note: command.note}, index);
+			this.#enterPhase(resource, {at: command.at, phase, note: command.note}, index);
 		}
 
 		return {type: 'accepted', version: index};
 	}
 
-	#enter(resource: Resource, step: ChangeStep, index: number, order?: number): void {
+	#enterPhase(resource: Resource, step: ChangeStep, index: number, order?: number): void {
 		const {phase} = step;
 		const history = [...resource.status?.history ?? [], step];
-		const number = order ?? resource.status?.order;
-		const status: ChangeStatus = number === undefined ? {phase, history} : {phase, history, order: number};
-		this.#store({...resource, version: index, status});
+		const orderNumber = order ?? resource.status?.order;
+		const status: ChangeStatus = orderNumber === undefined ? {phase, history} : {phase, history, order: orderNumber};
+		this.#storeResource({...resource, version: index, status});
 	}
 
-	#store(resource: Resource): void {
+	#storeResource(resource: Resource): void {
 		this.#viewVersion = resource.version;
 		this.#resources.set(createResourceKey(resource.specification.kind, resource.name), resource);
 	}
 
-	#expire(): void {
+	#removeExpired(): void {
 		this.ledger.removeExpired(this.#clockMs);
 		for (const [requestId, request] of this.#requests) {
-			const isYoung = this.#clockMs - request.atMs < REQUEST_RETENTION_MS;
-			if (isYoung && this.#requests.size <= MAX_REQUESTS) {
+			const isRetained = this.#clockMs - request.atMs < REQUEST_RETENTION_MS;
+			if (isRetained && this.#requests.size <= MAX_REMEMBERED_REQUESTS) {
 				return;
 			}
 
@@ -387,12 +387,12 @@
 		return false;
 	}
 
-	const comesBack = specification.action === 'role' || specification.action === 'load';
+	const returnsToService = specification.action === 'role' || specification.action === 'load';
 	if (status.phase === CHANGE_PHASES.failed) {
 		return false;
 	}
 
-	return !(comesBack && status.phase === CHANGE_PHASES.done);
+	return !(returnsToService && status.phase === CHANGE_PHASES.done);
 }
 
 /**
@@ -443,7 +443,7 @@
 	}
 }
 
-function concernsServer(resource: Resource, change: ChangeSpecification): boolean {
+function involvesSameServer(resource: Resource, change: ChangeSpecification): boolean {
 	const other = resource.specification as ChangeSpecification;
 	const servers = new Set([other.server, other.replacement]);
 	return servers.has(change.server) || (change.replacement !== undefined && servers.has(change.replacement));
