--- a/src/consensus/configuration.ts
+++ b/src/consensus/configuration.ts
@@ -1,12 +1,12 @@
 /**
- * Who votes: the set of replicas and its quorums.
+ * Cluster configuration of the replicated log: its members, and quorums over its voters.
  *
  * @module
  */
 import type {Configuration, Member} from '../generated/types.js';
 
 /**
- * Lists every member once, voters first.
+ * Lists all members without duplicates, voters first.
  *
  * @example
  * ```ts
@@ -25,7 +25,7 @@
 }
 
 /**
- * Tells whether a replica's vote counts.
+ * Returns whether a replica is a voter, in either half of a joint configuration.
  *
  * @example
  * ```ts
@@ -37,7 +37,8 @@
 }
 
 /**
- * Tells whether the replicas that satisfy a predicate form a quorum; a joint configuration needs one of each side.
+ * Returns whether the replicas that satisfy a predicate form a quorum. A joint configuration needs a majority of its
+ * new voters and a majority of its outgoing voters.
  *
  * @example
  * ```ts
@@ -50,11 +51,11 @@
 }
 
 /**
- * Finds the highest value that a quorum has reached.
+ * Finds the highest value that every member of some quorum has reached, for example the highest replicated index.
  *
  * @example
  * ```ts
- * quorumValue({voters: [a, b, c], outgoing: [], learners: []}, replica => matchIndex[replica]);
+ * findQuorumValue({voters: [a, b, c], outgoing: [], learners: []}, replica => matchIndex[replica]);
  * ```
  */
 export function findQuorumValue(configuration: Configuration, getValue: (replica: string) => number): number {
--- a/src/consensus/log.ts
+++ b/src/consensus/log.ts
@@ -1,11 +1,11 @@
 /**
- * The part of the replicated log that is held in memory: everything after the latest snapshot.
+ * In-memory part of the replicated log: the latest snapshot and the entries after it.
  *
  * @module
  */
 import type {Configuration, Entry, Snapshot} from '../generated/types.js';
 
-/** An in-memory log that starts after a snapshot. */
+/** Holds the latest snapshot and the entries that follow it. */
 export class Log {
 	#snapshot: Snapshot;
 	#entries: Entry[];
@@ -31,7 +31,7 @@
 		return this.#entries.length;
 	}
 
-	/** Term of an entry; undefined for an index that is not held. */
+	/** Returns the term of an entry, or undefined if the index is compacted or beyond the end of the log. */
 	getTerm(index: number): number | undefined {
 		if (index === this.#snapshot.index) {
 			return this.#snapshot.term;
@@ -44,7 +44,7 @@
 		return index > this.#snapshot.index ? this.#entries[index - this.#snapshot.index - 1] : undefined;
 	}
 
-	/** Entries from an index (included) to another (included), at most `limit`. */
+	/** Returns the entries from one index to another, both inclusive, at most `limit` of them. */
 	slice(from: number, to: number, limit = Number.POSITIVE_INFINITY): Entry[] {
 		const start = from - this.#snapshot.index - 1;
 		const end = Math.min(to - this.#snapshot.index, start + limit);
@@ -57,19 +57,22 @@
 		}
 	}
 
-	/** Removes an index and everything after it. */
+	/** Removes the entry at an index and all entries after it. */
 	truncate(from: number): void {
 		this.#entries.length = Math.max(0, from - this.#snapshot.index - 1);
 	}
 
-	/** Drops the entries that a snapshot covers; all of them if the log does not contain its end. */
+	/**
+	 * Replaces the snapshot and removes the entries that it covers. Removes all entries if the log does not contain the
+	 * last entry of the snapshot, because the log then conflicts with it.
+	 */
 	compact(snapshot: Snapshot): void {
 		const matches = this.getTerm(snapshot.index) === snapshot.term;
 		this.#entries = matches ? this.slice(snapshot.index + 1, this.lastIndex) : [];
 		this.#snapshot = snapshot;
 	}
 
-	/** The configuration in force: the latest in the log, committed or not. */
+	/** Finds the latest configuration in the log. It takes effect when it is appended, not when it is committed. */
 	findLatestConfiguration(): {readonly index: number; readonly configuration: Configuration} {
 		for (let index = this.#entries.length - 1; index >= 0; index--) {
 			const entry = this.#entries[index]!;
--- a/src/consensus/node.ts
+++ b/src/consensus/node.ts
@@ -1,5 +1,5 @@
 /**
- * The task around a replica: owns its files, timer and connections, and runs the step machine.
+ * Runs a replica: feeds it timer ticks, messages and proposals, and executes the effects that it returns.
  *
  * @module
  */
@@ -17,17 +17,17 @@
 } from './replica.js';
 import type {PersistentState, Storage} from './storage.js';
 
-/** The state that the log drives. */
+/** The replicated state machine that committed entries are applied to. */
 export interface StateMachine {
 	/** Applies a committed command and returns its outcome for the proposer. */
 	apply(entry: CommandEntry): unknown;
-	/** Notes a committed entry without a command. */
+	/** Advances past a committed entry that carries no command. */
 	skip(index: number): void;
 	createSnapshot(): Uint8Array;
 	restore(data: Uint8Array): void;
 }
 
-/** A command that was committed, with what applying it gave. */
+/** Index of a committed command and the result of applying it. */
 export type CommitResult = {
 	readonly index: number;
 	readonly outcome: unknown;
@@ -49,7 +49,7 @@
 	readonly logger: Logger;
 	readonly timing?: ReplicaTiming;
 	readonly compactAfterEntries?: number;
-	/** Whether proposals that wait together become one write; the bench's baseline has them apart. */
+	/** Whether waiting proposals are appended in one write (the default). The benchmark's baseline writes each on its own. */
 	readonly batchProposals?: boolean;
 	readonly onLeadershipChange: (leadership: Leadership) => void;
 	readonly onApplied: () => void;
@@ -69,7 +69,7 @@
 const PROPOSAL_TIMEOUT_MS = 4000;
 const DEFAULT_COMPACT_AFTER_ENTRIES = 2000;
 
-/** A running replica. Whoever started it closes it. */
+/** A running replica. The caller must close it. */
 export class ConsensusNode {
 	readonly #options: NodeOptions;
 	readonly #replica: Replica;
@@ -120,18 +120,18 @@
 		return this.#appliedIndex;
 	}
 
-	/** The member that leads, if it is known. */
+	/** Returns the current leader, or undefined if it is not known. */
 	findLeader(): Member | undefined {
 		const {configuration, leader} = this.#replica;
 		return [...configuration.voters, ...configuration.outgoing].find(member => member.replica === leader);
 	}
 
-	/** Monotonic time until which this replica is surely the only leader. */
+	/** Returns the monotonic time at which this replica's leader lease expires. */
 	getLeaseExpiryMs(): number {
 		return this.#replica.getLeaseExpiryMs(this.#options.clock.monotonicMs());
 	}
 
-	/** Takes a message that arrived on an accepted connection; replies go back on it. */
+	/** Handles a message from an accepted connection. Replies to its sender go back on the same connection. */
 	receive(message: ConsensusMessage, connection: Connection): void {
 		if (message.to !== this.#options.replica || this.#isClosed) {
 			return;
@@ -141,7 +141,7 @@
 		this.#step({type: 'message', from: message.from, body: message.body});
 	}
 
-	/** Tells that a write is on disk. */
+	/** Reports that a write, and all writes before it, are synced to disk. */
 	markSynced(sequence: number): void {
 		this.#step({type: 'synced', sequence});
 	}
@@ -178,7 +178,10 @@
 		});
 	}
 
-	/** Waits until this replica is known to lead and to have applied all that was committed before the call. */
+	/**
+	 * Waits until a majority has confirmed that this replica is the leader. All commands that were committed before the
+	 * call are applied by then, so a read of the state machine is linearizable. Returns the read index.
+	 */
 	async awaitReadIndex(): Promise<Either.Either<Problem, number>> {
 		return new Promise(resolve => {
 			const id = this.#nextReadId++;
@@ -198,7 +201,7 @@
 		this.#step({type: 'propose-configuration', configuration});
 	}
 
-	/** Hands leadership over, if this replica leads. */
+	/** Transfers leadership to another voter. Does nothing if this replica is not the leader. */
 	transferLeadership(): void {
 		this.#step({type: 'transfer-leadership'});
 	}
@@ -314,7 +317,7 @@
 		this.#connectionPool.send(to, message);
 	}
 
-	/** A connection on which requests get no replies may have gone silent for good; a new one may work. */
+	/** Replaces a connection without replies for an election timeout: it may be dead without having been closed. */
 	#resetIfUnresponsive(member: Member): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		const limitMs = this.#replica.timing.electionMs;
@@ -343,7 +346,7 @@
 	#settleProposal(entry: Entry, outcome: unknown): void {
 		const pending = this.#pendingProposals.get(entry.index);
 		this.#pendingProposals.delete(entry.index);
-		// Another leader's entry took the place of ours, which can thus never be committed.
+		// An entry of another leader was committed at this index, so the proposed entry can never be committed.
 		pending?.settle(pending.term === entry.term
 			? Either.right({index: entry.index, outcome})
 			: Either.left(createProblem('notLeader')));
@@ -357,7 +360,7 @@
 
 	#onRoleChange(effect: Leadership): void {
 		const {role, term, leader} = effect;
-		this.#options.logger.info(`Is ${role} in term ${term}.`, {role, term, leader});
+		this.#options.logger.info(`Became ${role} in term ${term}.`, {role, term, leader});
 		this.#options.onLeadershipChange({role, term, leader});
 	}
 
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -1,8 +1,9 @@
 /**
- * One replica of the log as a step machine: events in, effects out; no clock, socket, file or timer.
+ * Raft replica as a state machine without I/O: it takes an event and the current time, and returns the effects that the
+ * caller must execute.
  *
- * Leader-based replication after Raft, with pre-vote, leader leases measured from the sending of a round,
- * read index, learners, joint configurations and handing over of leadership.
+ * Beyond basic Raft it implements pre-vote, leader leases (measured from the time at which a round of append requests
+ * is sent), read index, learners, joint configurations and leadership transfer.
  *
  * @module
  */
@@ -19,24 +20,24 @@
 export const REPLICA_ROLES = {follower: 'follower', candidate: 'candidate', leader: 'leader'} as const;
 export type ReplicaRole = keyof typeof REPLICA_ROLES;
 
-/** Durations in milliseconds of monotonic time. */
+/** Timing of elections and heartbeats; durations in milliseconds of monotonic time. */
 export type ReplicaTiming = {
 	readonly heartbeatMs: number;
-	/** Shortest election timeout; also the length of the leader's lease. */
+	/** Minimum election timeout; also the duration of the leader lease. */
 	readonly electionMs: number;
-	/** Share of a lease that is given up to clocks that run at different speeds. */
+	/** Fraction of the lease that the leader does not use, because clocks run at different rates. */
 	readonly clockDrift: number;
 };
 
 export const DEFAULT_REPLICA_TIMING: ReplicaTiming = {heartbeatMs: 100, electionMs: 600, clockDrift: 0.05};
 
-/** What must be on disk before a replica may answer for it. */
+/** Raft's hard state: must be synced to disk before a replica sends a message that depends on it. */
 export type HardState = {
 	readonly term: number;
 	readonly vote: string;
 };
 
-/** One change to the files of a replica. */
+/** One record of the write-ahead log. */
 export type LogRecord
 	= | {readonly type: 'hard'; readonly state: HardState}
 		| {readonly type: 'truncate'; readonly from: number}
@@ -77,11 +78,11 @@
 type PeerProgress = {
 	nextIndex: number;
 	matchIndex: number;
-	/** Highest round that the peer has confirmed. */
+	/** Highest round of append requests that the peer has acknowledged. */
 	round: number;
-	/** When that round was sent. */
+	/** Time at which that round was sent. */
 	confirmedMs: number;
-	/** An install request is on its way until this time. */
+	/** Until this time no other snapshot is sent, because one is assumed to be in transit. */
 	installUntilMs: number;
 };
 
@@ -95,7 +96,7 @@
 const INSTALL_RETRY_MS = 2000;
 const NO_REPLICA = '';
 
-/** The step machine of one replica. */
+/** State machine of one Raft replica. */
 export class Replica {
 	readonly id: string;
 	readonly timing: ReplicaTiming;
@@ -121,7 +122,7 @@
 	#round = 0;
 	#roundSentMs = new Map<number, number>();
 	#pendingReads: PendingRead[] = [];
-	/** When leadership was handed over; infinite if it was not. */
+	/** Time at which a leadership transfer began; infinite if none is in progress. */
 	#transferStartedMs = Number.POSITIVE_INFINITY;
 	#writeSequence = 0;
 	#syncedSequence = 0;
@@ -144,7 +145,7 @@
 		const {index, configuration} = this.#log.findLatestConfiguration();
 		this.#configuration = configuration;
 		this.#configurationIndex = index;
-		// A restarted replica may have promised a leader its lease and not remember it.
+		// Before its restart this replica may have extended a leader's lease, which is not stored.
 		this.#denyVotesUntilMs = options.nowMs + this.timing.electionMs;
 		this.#resetElectionTimer(options.nowMs);
 	}
@@ -157,7 +158,7 @@
 		return this.#term;
 	}
 
-	/** Identity of the leader last heard of; empty if there is none. */
+	/** Replica identity of the current leader; empty if it is unknown. */
 	get leader(): string {
 		return this.#leader;
 	}
@@ -182,29 +183,29 @@
 		return this.#configuration;
 	}
 
-	/** Whether the configuration in force is committed. */
+	/** Whether the current configuration is committed. */
 	get isConfigurationCommitted(): boolean {
 		return this.#commitIndex >= this.#configurationIndex;
 	}
 
-	/** Whether the leader has committed an entry of its own term, so that it knows all that is committed. */
+	/** Whether this replica leads and has committed an entry of its own term, so that its commit index is current. */
 	get isLeaderReady(): boolean {
 		return this.#role === REPLICA_ROLES.leader && this.#log.getTerm(this.#commitIndex) === this.#term;
 	}
 
-	/** Whether a majority follows this leader, or this follower has heard its leader, within an election timeout. */
+	/** Whether a leader has a valid lease, or a follower has received a message of its leader within an election timeout. */
 	hasQuorumContact(nowMs: number): boolean {
 		return this.#role === REPLICA_ROLES.leader
 			? this.getLeaseExpiryMs(nowMs) > nowMs
 			: this.#leader !== NO_REPLICA && nowMs < this.#denyVotesUntilMs;
 	}
 
-	/** Term of an entry that is still in the log. */
+	/** Returns the term of an entry, or undefined if the log does not contain it. */
 	getTerm(index: number): number | undefined {
 		return this.#log.getTerm(index);
 	}
 
-	/** Monotonic time until which no other leader can exist; in the past without authority. */
+	/** Returns the monotonic time until which no other leader can exist; in the past if this replica has no lease. */
 	getLeaseExpiryMs(nowMs: number): number {
 		if (this.#role !== REPLICA_ROLES.leader || this.#transferStartedMs <= nowMs) {
 			return Number.NEGATIVE_INFINITY;
@@ -214,7 +215,7 @@
 		return confirmedMs + (this.timing.electionMs * (1 - this.timing.clockDrift));
 	}
 
-	/** How far a peer has got, for the leader's report. */
+	/** Returns how far a replica has replicated the log and whether it responds, as seen by the leader. */
 	getProgress(replica: string, nowMs: number): {readonly matchIndex: number; readonly alive: boolean} {
 		if (replica === this.id) {
 			return {matchIndex: this.#syncedIndex, alive: true};
@@ -227,7 +228,7 @@
 		};
 	}
 
-	/** Takes one event and returns what must be done, in order. */
+	/** Processes one event and returns the effects to execute, in order. */
 	step(event: ReplicaEvent, nowMs: number): ReplicaEffect[] {
 		this.#effects = [];
 		this.#handleEvent(event, nowMs);
@@ -292,7 +293,7 @@
 	#tickLeader(nowMs: number): void {
 		const quorumContactMs = findQuorumValue(this.#configuration, replica => this.#getConfirmedMs(replica, nowMs));
 		const hasLostQuorum = nowMs - Math.max(quorumContactMs, this.#electedMs) >= this.timing.electionMs;
-		// A hand-over that came to nothing leaves a leader without a lease: an election must follow.
+		// After a failed leadership transfer the leader has no lease, so it steps down to trigger an election.
 		const isTransferTimedOut = nowMs - this.#transferStartedMs >= this.timing.electionMs;
 		if (hasLostQuorum || isTransferTimedOut) {
 			this.#becomeFollower(this.#term, NO_REPLICA, nowMs);
@@ -332,7 +333,7 @@
 		this.#countVotes(nowMs);
 	}
 
-	/** A replica's vote for itself counts like any other: once it is on disk. */
+	/** A candidate's own vote counts only once it is synced to disk, like any other vote. */
 	#deferSelfVote(): void {
 		if (this.#safeguards.syncBeforeReply) {
 			this.#votes.clear();
@@ -384,7 +385,7 @@
 			return;
 		}
 
-		// A granted pre-vote carries the term it asks for, which nobody has reached yet.
+		// A granted pre-vote carries the requested term, which no replica has entered yet.
 		const isPreVoteGrant = body.type === 'vote-reply' && body.preVote && body.granted;
 		if (body.term > this.#term && !isPreVoteGrant) {
 			this.#becomeFollower(body.term, NO_REPLICA, nowMs);
@@ -481,7 +482,7 @@
 
 		this.#followLeader(from, nowMs);
 		if (request.previousIndex < this.#log.snapshot.index) {
-			// What lies before the snapshot is committed, thus equal.
+			// Entries that the snapshot covers are committed and therefore identical.
 			const skipped = this.#log.snapshot.index - request.previousIndex;
 			this.#appendNewEntries(request.entries.slice(skipped));
 		} else if (this.#safeguards.checkLogMatching && this.#log.getTerm(request.previousIndex) !== request.previousTerm) {
@@ -559,7 +560,10 @@
 		}
 	}
 
-	/** The leader may try right after the last index that could match: the end, or before the conflicting term. */
+	/**
+	 * Finds the last index that may match the leader's log: the end of the log, or the entry before the conflicting term.
+	 * The leader retries with the entry after it.
+	 */
 	#findRetryIndex(previousIndex: number): number {
 		if (previousIndex > this.#log.lastIndex) {
 			return this.#log.lastIndex;
@@ -610,13 +614,13 @@
 		this.#advanceCommit(quorumIndex);
 		this.#heartbeatDueMs = Math.min(this.#heartbeatDueMs, nowMs + (this.timing.heartbeatMs / 4));
 		if (this.isConfigurationCommitted && !isVoter(this.#configuration, this.id)) {
-			// The last message tells the others that the configuration without this replica is committed.
+			// This last broadcast tells the others that the configuration without this replica is committed.
 			this.#broadcast(nowMs);
 			this.#becomeFollower(this.#term, NO_REPLICA, nowMs);
 		}
 	}
 
-	/** Leaves a joint configuration once it is committed and every new voter holds it. */
+	/** Proposes the final configuration once the joint one is committed and every new voter has replicated it. */
 	#leaveJointConfiguration(nowMs: number): void {
 		const {voters, outgoing, learners} = this.#configuration;
 		const isReplicatedToNewVoters = voters.every(member => outgoing.some(previous => previous.replica === member.replica)
@@ -703,7 +707,7 @@
 		this.#write([{type: 'snapshot', snapshot}]);
 	}
 
-	/** Hands leadership to the peer that is furthest ahead. */
+	/** Asks the reachable voter with the highest match index to start an election. */
 	#transferLeadership(nowMs: number): void {
 		if (this.#role !== REPLICA_ROLES.leader) {
 			return;
@@ -714,7 +718,7 @@
 		candidates.sort((a, b) => this.#getMatchIndex(b.replica) - this.#getMatchIndex(a.replica));
 		const successor = candidates[0];
 		if (successor) {
-			// The successor does not wait for the lease to run out, so the lease ends here.
+			// The successor's election ignores the lease, so this leader must not rely on it any longer.
 			this.#transferStartedMs = nowMs;
 			this.#effects.push({type: 'send', to: successor, body: {type: 'timeout-now', term: this.#term}});
 		}
@@ -763,7 +767,7 @@
 				entries,
 			},
 		});
-		// Sent entries are taken as received; a lost one shows as a refused append.
+		// Assume that the entries arrive (pipelining); if they are lost, the next append request is rejected.
 		peer.nextIndex += entries.length;
 	}
 
--- a/src/consensus/safeguards.ts
+++ b/src/consensus/safeguards.ts
@@ -1,25 +1,25 @@
 /**
- * The mechanisms that safety rests on. The daemon always runs with all of them; the fuzzer switches one off
- * to show that its checks would notice.
+ * Safety rules of the replicated log. The daemon always enables all of them. The fuzzer disables one at a time to prove
+ * that its checks detect the resulting fault.
  *
  * @module
  */
 export const ALL_SAFEGUARDS = {
-	/** A reply that a peer relies on waits until what it promises is synced. */
+	/** A reply is sent only after the writes that it acknowledges are synced to disk. */
 	syncBeforeReply: true,
-	/** The term and the vote in it are kept on disk. */
+	/** The current term and the vote cast in it are written to disk. */
 	persistHardState: true,
-	/** Only entries of the leader's own term are committed by counting replicas. */
+	/** The leader commits an entry by counting replicas only if the entry is of its own term. */
 	commitOwnTermOnly: true,
-	/** A replica that came back without its disk gets a new identity. */
+	/** The identity is stored in the data folder, so that a replica that lost its disk gets a new one. */
 	persistIdentity: true,
-	/** A read waits until a majority has confirmed the leader after it came in. */
+	/** A read waits until a majority has confirmed the leader after the read arrived (read index). */
 	confirmReads: true,
-	/** A new leader and a restarted follower respect the lease of the leader before. */
+	/** A replica grants no vote while the lease of an earlier leader may still be valid, even after a restart. */
 	respectLease: true,
-	/** Voters change through a joint configuration. */
+	/** Voters are changed through a joint configuration. */
 	useJointConfiguration: true,
-	/** An append whose previous entry does not match is refused. */
+	/** An append request is rejected if the preceding entry does not match. */
 	checkLogMatching: true,
 } as const satisfies Record<string, boolean>;
 
--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -1,10 +1,10 @@
 /**
- * The files of a replica: its identity, a snapshot and a checksummed write-ahead log.
+ * Persistent storage of a replica: its identity, a snapshot and a checksummed write-ahead log.
  *
- * A generation is a pair `snapshot-N`, `log-N`; it exists once `log-N` has its final name. The log is a
- * sequence of frames (magic, length, CRC-32, CBOR list of records), one frame for each batch, and the next
- * batch is written only after the one before is synced. So a damaged frame with a whole one behind it is
- * corruption, and a damaged frame at the end is a torn write of a batch that nobody was promised.
+ * A generation is a pair of files, `snapshot-N` and `log-N`. It is valid once `log-N` has been renamed to its final
+ * name. The log is a sequence of frames (magic number, length, CRC-32, CBOR-encoded list of records), one per batch.
+ * A batch is written only after the previous one is synced. A damaged frame that is followed by a complete one
+ * therefore means corruption, while a damaged frame at the end is a torn write of a batch that was never acknowledged.
  *
  * @module
  */
@@ -22,6 +22,7 @@
 import {decodeValue, encodeValue} from '../wire/frame.js';
 import type {HardState, LogRecord} from './replica.js';
 
+/** State that a replica recovers from its files after a restart. */
 export type PersistentState = {
 	readonly hard: HardState;
 	readonly snapshot: Snapshot;
@@ -29,17 +30,17 @@
 };
 
 export type StorageOptions = {
-	/** Whether records that wait together share one sync. */
+	/** Whether waiting batches share one sync (the default). */
 	readonly batchWrites?: boolean;
 	readonly onSynced: (sequence: number) => void;
-	/** Called when a write failed; it is tried again until it succeeds, and nothing counts as synced meanwhile. */
+	/** Called when a write fails. The write is retried until it succeeds; no later write is synced before that. */
 	readonly onWriteFailure: (problem: Problem) => void;
 };
 
 type OpenedGeneration = {
 	readonly generation: number;
 	readonly file: FileHandle;
-	/** Bytes of the log that are whole. */
+	/** Length of the log file up to the end of the last complete frame. */
 	readonly length: number;
 	readonly state: PersistentState;
 };
@@ -49,7 +50,7 @@
 	readonly records: readonly LogRecord[];
 };
 
-/** Pause before a failed write is tried again; a full or faulty disk lasts for seconds. */
+/** Delay before a failed write is retried; a full or faulty disk usually stays so for seconds. */
 const WRITE_RETRY_MS = 100;
 const FRAME_MAGIC = 0xCA_5A_AD_01;
 const FRAME_HEADER_BYTES = 12;
@@ -61,11 +62,11 @@
 export const EMPTY_PERSISTENT_STATE: PersistentState = {hard: {term: 0, vote: ''}, snapshot: EMPTY_SNAPSHOT, entries: []};
 
 /**
- * Reads the replica's identity from its data folder, or makes one in an empty folder.
+ * Reads the replica's identity from its data folder, or creates one if the folder has none.
  *
  * @example
  * ```ts
- * const identity = await readIdentity('/var/lib/carawayhoist'); // Either.right('6f1c…')
+ * const identity = await loadOrCreateIdentity('/var/lib/carawayhoist'); // Either.right('6f1c…')
  * ```
  */
 export async function loadOrCreateIdentity(folder: string): Promise<Either.Either<Problem, string>> {
@@ -85,7 +86,7 @@
 	}
 }
 
-/** The open files of a replica. Whoever opened it closes it. */
+/** The open files of a replica. The caller must close it. */
 export class Storage {
 	readonly #folder: string;
 	readonly #options: StorageOptions;
@@ -95,7 +96,7 @@
 	#state: PersistentState;
 	readonly #queue: Batch[] = [];
 	#writing: Promise<void> | undefined;
-	/** Whether a failed write may have left a part of a frame behind the whole ones. */
+	/** Whether a failed write may have left a partial frame after the last complete one. */
 	#hasPartialFrame = false;
 	#isClosing = false;
 
@@ -109,11 +110,11 @@
 	}
 
 	/**
-	 * Opens a data folder; a torn tail is cut, corruption before the end is refused.
+	 * Opens a data folder. Truncates a torn write at the end of the log; fails if the log is corrupt before its end.
 	 *
 	 * @example
 	 * ```ts
-	 * const storage = await Storage.open(folder, {onSynced: sequence => {}, onFailed: problem => {}});
+	 * const storage = await Storage.open(folder, {onSynced: sequence => {}, onWriteFailure: problem => {}});
 	 * ```
 	 */
 	static async open(folder: string, options: StorageOptions): Promise<Either.Either<Problem, Storage>> {
@@ -154,7 +155,7 @@
 
 		const file = await open(logFile, 'a');
 		await file.truncate(log.right.length);
-		// What an earlier process wrote may still be only in the page cache.
+		// Data written by a previous process may still be in the page cache only.
 		await file.sync();
 		await removeOtherGenerations(folder, generation);
 		return Either.right(new Storage(folder, options, {
@@ -162,18 +163,18 @@
 		}));
 	}
 
-	/** What the files hold. */
+	/** The state that is written to the files. */
 	get persistentState(): PersistentState {
 		return this.#state;
 	}
 
-	/** Writes records; `onSynced` is called once they are on disk. */
+	/** Queues records for writing; `onSynced` is called once they are synced to disk. */
 	write(sequence: number, records: readonly LogRecord[]): void {
 		this.#queue.push({sequence, records});
 		this.#writing ??= this.#drainQueue();
 	}
 
-	/** Waits for what was written and closes the files. */
+	/** Waits for pending writes and closes the files. */
 	async close(): Promise<void> {
 		this.#isClosing = true;
 		await this.#writing;
@@ -193,7 +194,7 @@
 		this.#writing = undefined;
 	}
 
-	/** Writes batches, again after a failure; false if the storage was closed before they were written. */
+	/** Writes batches, retrying after failures. Returns false if the storage was closed before a try succeeded. */
 	async #writeWithRetry(batches: readonly Batch[]): Promise<boolean> {
 		for (;;) {
 			try {
@@ -210,7 +211,10 @@
 		}
 	}
 
-	/** Takes what can share one sync: everything up to a snapshot, which starts a new generation. */
+	/**
+	 * Removes the batches that share the next sync from the queue. A batch with a snapshot is written alone, because it
+	 * starts a new generation.
+	 */
 	#dequeueBatches(): Batch[] {
 		const limit = this.#options.batchWrites === false ? 1 : this.#queue.length;
 		const snapshotAt = this.#queue.findIndex(batch => hasSnapshot(batch));
@@ -254,11 +258,11 @@
 }
 
 /**
- * Applies records to what the files hold; also the model of a disk in the fuzzer.
+ * Applies log records to a persistent state. The fuzzer uses it as its model of a disk.
  *
  * @example
  * ```ts
- * applyRecords(EMPTY_IMAGE, [{type: 'hard', state: {term: 3, vote: 'a'}}]).hard.term; // 3
+ * applyRecords(EMPTY_PERSISTENT_STATE, [{type: 'hard', state: {term: 3, vote: 'a'}}]).hard.term; // 3
  * ```
  */
 export function applyRecords(state: PersistentState, records: readonly LogRecord[]): PersistentState {
@@ -314,7 +318,7 @@
 	return frame;
 }
 
-/** Reads frames up to the first damaged one; a whole frame behind a damaged one means corruption. */
+/** Decodes frames up to the first damaged one. Fails if a complete frame follows a damaged one, which means corruption. */
 export function readFrames(bytes: Uint8Array): Either.Either<Problem, {readonly payloads: Uint8Array[]; readonly length: number}> {
 	const payloads: Uint8Array[] = [];
 	let offset = 0;
@@ -330,7 +334,7 @@
 
 	for (let position = offset + 1; position + FRAME_HEADER_BYTES <= bytes.length; position++) {
 		if (readFrame(bytes, position)) {
-			return Either.left(createProblem('storageCorrupt', `Damage at byte ${offset}, a whole record at byte ${position}.`));
+			return Either.left(createProblem('storageCorrupt', `Invalid frame at byte ${offset}, but a valid one at byte ${position}.`));
 		}
 	}
 
@@ -379,7 +383,7 @@
 	}
 }
 
-/** Writes a file so that it exists whole or not at all. */
+/** Writes a file atomically: it exists under its final name only once it is complete and synced. */
 async function writeFileAtomically(folder: string, name: string, bytes: Uint8Array): Promise<void> {
 	const temporary = path.join(folder, `${name}.new`);
 	const file = await open(temporary, 'w');
--- a/src/control/bootstrap.ts
+++ b/src/control/bootstrap.ts
@@ -1,9 +1,9 @@
 /**
- * The first configuration of a new fleet.
+ * Initial configuration of the replicated log in a new deployment.
  *
- * Only the control host that the settings name first forms it, and only when every control host named answers
- * that it holds none; the others wait to be reached by the log. So a host that lost its disk can never form a
- * second configuration beside the first, as long as one other host still holds it.
+ * Only the control host that is listed first in the settings creates it, and only when every listed control host
+ * replies that it has none. The others wait for the leader's messages or adopt the configuration of that first host. A
+ * host that lost its disk therefore cannot create a second configuration as long as one other host has the first.
  *
  * @module
  */
@@ -11,20 +11,21 @@
 	Configuration, Member, Peer, Welcome,
 } from '../generated/types.js';
 
+/** A control host and its reply to a hello. */
 export type BootstrapReply = {
 	readonly peer: Peer;
 	readonly welcome: Welcome;
 };
 
 /**
- * Decides whether the first configuration can be formed, and what it is.
+ * Creates the initial configuration, or returns undefined if this host must not create one or lacks a reply.
  *
- * @param self - The deciding host and its replica.
+ * @param self - This host and its replica.
  * @param peers - The control hosts in the settings, in the same order on every host.
- * @param replies - What the other hosts answered.
+ * @param replies - The replies of the other hosts.
  * @example
  * ```ts
- * formConfiguration({host: 'a1', replica: '6f1c'}, [peer], []); // one voter
+ * createInitialConfiguration({host: 'a1', replica: '6f1c'}, [peer], []); // one voter
  * ```
  */
 export function createInitialConfiguration(
@@ -54,11 +55,11 @@
 }
 
 /**
- * Finds the first configuration that the forming host made, if this replica votes in it.
+ * Finds the initial configuration in the reply of the host that creates it, if this replica is one of its voters.
  *
  * @example
  * ```ts
- * adoptConfiguration('6f1c', peers, answers)?.voters.length; // 3
+ * findInitialConfiguration('6f1c', peers, replies)?.voters.length; // 3
  * ```
  */
 export function findInitialConfiguration(
--- a/src/control/client.ts
+++ b/src/control/client.ts
@@ -1,5 +1,5 @@
 /**
- * Talks to the control hosts on behalf of an entry host: finds the leader, sends again, gives up in time.
+ * Client of the control hosts: finds the leader, retries requests, and gives up after a timeout.
  *
  * @module
  */
@@ -22,10 +22,10 @@
 	'id'>;
 
 export type ControlClientOptions = {
-	/** Control hosts to start from. */
+	/** Control hosts to try before the leader has sent a list. */
 	readonly seeds: readonly Address[];
 	readonly clock: Clock;
-	/** Called for a view that the leader sends on its own. */
+	/** Called when the leader pushes a view update that was not requested. */
 	readonly onViewPushed: (message: RenewReply) => void;
 };
 
@@ -33,7 +33,7 @@
 const RETRY_PAUSE_MS = 60;
 export const DEFAULT_TIMEOUT_MS = 5000;
 
-/** A client of the control hosts. Whoever created it closes it. */
+/** A client of the control hosts. The caller must close it. */
 export class ControlClient {
 	readonly #options: ControlClientOptions;
 	readonly #pendingRequests = new Map<number, (reply: Reply | undefined) => void>();
@@ -41,7 +41,7 @@
 	#target = 0;
 	#connection: Connection | undefined;
 	#nextId = 1;
-	/** Rises whenever another control host is turned to, so that many failed questions turn only once. */
+	/** Incremented whenever the target changes, so that many requests that fail together switch the target only once. */
 	#targetGeneration = 0;
 	#isClosed = false;
 
@@ -50,7 +50,7 @@
 		this.#targets = [...options.seeds];
 	}
 
-	/** Replaces the control hosts to choose from, as the leader names them. */
+	/** Replaces the list of control hosts with the members that the leader reports, keeping the current target. */
 	updateMembers(members: readonly Member[]): void {
 		if (members.length === 0) {
 			return;
@@ -63,26 +63,26 @@
 	}
 
 	/**
-	 * Proposes a command until it is committed, refused, or the deadline has passed.
+	 * Proposes a command, with retries, until it is committed, refused, or the timeout expires.
 	 *
-	 * The command must be idempotent: it may be committed more than once.
+	 * The command must be idempotent, because a retry may commit it more than once.
 	 *
 	 * @example
 	 * ```ts
 	 * const result = await client.propose(command)();
 	 * ```
 	 */
-	propose(command: Command, deadlineMs = DEFAULT_TIMEOUT_MS): TaskEither<Problem, ProposeReply> {
-		return this.#sendWithRetry({type: 'propose', command}, 'proposed', deadlineMs);
+	propose(command: Command, timeoutMs = DEFAULT_TIMEOUT_MS): TaskEither<Problem, ProposeReply> {
+		return this.#sendWithRetry({type: 'propose', command}, 'proposed', timeoutMs);
 	}
 
-	/** Reads all that has changed since a version, as of now: a majority confirms it. */
-	readResources(from: number, deadlineMs = DEFAULT_TIMEOUT_MS): TaskEither<Problem, ReadReply> {
-		return this.#sendWithRetry({type: 'read', from}, 'listing', deadlineMs);
+	/** Returns all resource changes since a version. The read is linearizable: a majority confirms the leader first. */
+	readResources(from: number, timeoutMs = DEFAULT_TIMEOUT_MS): TaskEither<Problem, ReadReply> {
+		return this.#sendWithRetry({type: 'read', from}, 'listing', timeoutMs);
 	}
 
-	renewViewLease(message: Omit<RenewRequest, 'id'>, deadlineMs = REPLY_TIMEOUT_MS): TaskEither<Problem, RenewReply> {
-		return this.#sendWithRetry(message, 'renewed', deadlineMs);
+	renewViewLease(message: Omit<RenewRequest, 'id'>, timeoutMs = REPLY_TIMEOUT_MS): TaskEither<Problem, RenewReply> {
+		return this.#sendWithRetry(message, 'renewed', timeoutMs);
 	}
 
 	manageMembers(message: Omit<MembersRequest, 'id'>): TaskEither<Problem, MembersReply> {
@@ -94,15 +94,15 @@
 		this.#connection?.close();
 	}
 
-	#sendWithRetry<Type extends Reply['type']>(request: ControlRequest, expected: Type, deadlineMs: number): TaskEither<Problem, Extract<Reply, {type: Type}>> {
+	#sendWithRetry<Type extends Reply['type']>(request: ControlRequest, expected: Type, timeoutMs: number): TaskEither<Problem, Extract<Reply, {type: Type}>> {
 		return async () => {
 			const {clock} = this.#options;
-			const deadlineAtMs = clock.monotonicMs() + deadlineMs;
+			const deadlineMs = clock.monotonicMs() + timeoutMs;
 			let mayHaveCommitted = false;
-			while (clock.monotonicMs() < deadlineAtMs && !this.#isClosed) {
+			while (clock.monotonicMs() < deadlineMs && !this.#isClosed) {
 				const id = this.#nextId++;
 				const generation = this.#targetGeneration;
-				const reply = await this.#sendOnce({...request, id}, id, Math.min(REPLY_TIMEOUT_MS, deadlineAtMs - clock.monotonicMs()));
+				const reply = await this.#sendOnce({...request, id}, id, Math.min(REPLY_TIMEOUT_MS, deadlineMs - clock.monotonicMs()));
 				if (reply?.type === expected) {
 					return Either.right(reply as Extract<Reply, {type: Type}>);
 				}
@@ -182,7 +182,7 @@
 		}
 	}
 
-	/** Turns to the leader that was named, or to the next control host; a silent connection is left behind. */
+	/** Switches to the leader named in a refusal, or else to the next control host, on a new connection. */
 	#switchTarget(refusal: RefusalReply | undefined, generation: number): void {
 		if (generation !== this.#targetGeneration) {
 			return;
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -1,6 +1,9 @@
 /**
- * What the leader does beyond keeping the log: carries planned changes forward, sends orders to engines, and closes
- * claims whose host is gone. A step machine; authority, time and state are handed in.
+ * Control loop of the leader: advances planned changes, sends orders to backend servers, plans role changes, and settles
+ * the open claims of entry hosts that have failed.
+ *
+ * A state machine without I/O; the caller passes the control state, the current time and the leader lease, and executes
+ * the effects that it returns.
  *
  * @module
  */
@@ -16,26 +19,27 @@
 	excludesServer, CHANGE_PHASES, type ControlState, type OpenOrder,
 } from './state.js';
 
-/** Name of the policy resource that the choice of roles follows. */
+/** Name of the policy resource that configures automatic role changes. */
 export const ROLE_POLICY_NAME = 'roles';
+/** Prefix of the names of role changes that the controller plans by itself. */
 const AUTOMATIC_PREFIX = 'auto-';
 const AUTOMATIC_RETENTION_MS = 3_600_000;
 const ROLE_PLAN_INTERVAL_MS = 1000;
 
 export type ControllerTiming = {
-	/** Length of an entry host's view lease. */
+	/** Duration of an entry host's view lease. */
 	readonly viewLeaseMs: number;
-	/** Longest time between the write of an order and its arrival. */
+	/** Maximum time between the write of an order and its arrival at the server. */
 	readonly orderTransitMs: number;
-	/** Length of a leader's authority, with clock drift. */
+	/** Duration of a leader lease, including clock drift. */
 	readonly leaderLeaseMs: number;
-	/** How long a claim outlives the lease of the host that holds it. */
+	/** How long a claim stays open after the view lease of its entry host has expired. */
 	readonly claimGraceMs: number;
-	/** Pause between two tries at the same order. */
+	/** Minimum time between two tries to send or query the same order, and between two identical proposals. */
 	readonly orderRetryMs: number;
-	/** After this silence a server counts as gone. */
+	/** A server that has not announced itself for this long counts as gone. */
 	readonly serverTimeoutMs: number;
-	/** Shortest time between the last order of one leader and the first of the next, whatever the lease says. */
+	/** Minimum time after an election before the new leader orders servers without fencing, whatever the lease says. */
 	readonly minTakeoverMs: number;
 };
 
@@ -49,12 +53,12 @@
 	minTakeoverMs: 0,
 };
 
-/** An order as it goes to a backend server. */
+/** Send an order to a backend server. */
 export type SendOrderEffect = {
 	readonly type: 'send-order';
 	readonly server: Announcement;
 	readonly order: OpenOrder;
-	/** Monotonic time after which the order must not be written; infinite for servers that check fences. */
+	/** Monotonic time after which the order must not be written; infinite for servers that check fencing numbers. */
 	readonly notAfterMs: number;
 };
 
@@ -65,52 +69,63 @@
 			readonly type: 'query-order';
 			readonly server: Announcement;
 			readonly order: OpenOrder;
-			/** Whether this leader issued it: nobody else can have sent it. */
+			/** Whether this leader issued the order, so that no other leader can have sent it. */
 			readonly isOwn: boolean;
 		};
 
-/** What became of an order. */
+/** Result of sending or querying an order. */
 export type OrderReport
 	= | {readonly type: 'done'; readonly server: string; readonly order: number; readonly note: string}
 		| {readonly type: 'failed'; readonly server: string; readonly order: number; readonly note: string}
-	/** The server holds no sign of the order. */
+	/** The server has not received the order. */
 		| {readonly type: 'absent'; readonly server: string; readonly order: number}
-	/** The server works on it. */
+	/** The server is executing it. */
 		| {readonly type: 'running'; readonly server: string; readonly order: number}
-	/** Nobody knows: no answer came. */
+	/** The result is unknown: the server did not respond. */
 		| {readonly type: 'lost'; readonly server: string; readonly order: number};
 
+/** An entry host that has renewed its view lease. */
 type Session = {
+	/** Identifies one start of the host's process. */
 	readonly boot: string;
+	/** Version of the view that the host has applied. */
 	readonly version: number;
+	/** Requests in flight at each server that is being changed. */
 	readonly running: ReadonlyMap<string, number>;
 	readonly leaseUntilMs: number;
 };
 
+/** The latest announcement of a backend server and the time at which it was received. */
 type ServerObservation = {
 	readonly announcement: Announcement;
 	readonly atMs: number;
 };
 
+/** What this leader knows about the delivery of an open order. */
 type OrderAttempt = {
 	order: number;
+	/** `unresolved`: the server may have received the order, so it must be queried before the order is sent again. */
 	state: 'unsent' | 'sent' | 'unresolved';
 	lastTryMs: number;
 };
 
+/** Clock readings, and the expiry of the leader lease on the same monotonic clock. */
 export type LeaseClock = {
 	readonly nowMs: number;
 	readonly wallMs: number;
-	/** Until when this process is surely the only leader. */
+	/** Time until which no other leader can exist. */
 	readonly leaseUntilMs: number;
 };
 
-/** Which safeguards of orders are on; the daemon has all of them. */
+/** Safety rules for orders to backend servers. The fuzzer disables one at a time to prove that its checks notice. */
 export type OrderSafeguards = {
+	/** Orders to servers without fencing wait until the previous leader's lease has expired. */
 	readonly awaitLeaseExpiry: boolean;
+	/** A server counts as drained only after all entry hosts have acknowledged the change. */
 	readonly awaitViewAcknowledgements: boolean;
+	/** An order that the server may have received is queried before it is sent again. */
 	readonly queryBeforeResend: boolean;
-	/** Whether a server must run nothing before it is ordered; off where servers finish running work by themselves. */
+	/** A server must be idle before it gets an order. Disabled where servers finish running work by themselves. */
 	readonly awaitIdle: boolean;
 };
 
@@ -118,7 +133,7 @@
 	awaitLeaseExpiry: true, awaitViewAcknowledgements: true, queryBeforeResend: true, awaitIdle: true,
 };
 
-/** The duties of one term of leadership; created when a replica becomes leader, dropped when it stops. */
+/** Control loop of one term of leadership. Created when a replica becomes leader, discarded when it steps down. */
 export class Controller {
 	readonly #timing: ControllerTiming;
 	readonly #safeguards: OrderSafeguards;
@@ -131,23 +146,23 @@
 	readonly #loadLimiter: TokenBucket;
 	readonly #demands = new Map<string, readonly ModelDemand[]>();
 	readonly #lastRoleChangeMs = new Map<string, number>();
-	/** Changes whose orders this leader issued itself. */
+	/** Names of the changes whose orders this leader issued. */
 	readonly #changesOrderedHere = new Set<string>();
 	#nextRolePlanMs = 0;
 
-	constructor(electedMs: number, timing = DEFAULT_CONTROLLER_TIMING, mechanisms = ALL_ORDER_SAFEGUARDS) {
+	constructor(electedMs: number, timing = DEFAULT_CONTROLLER_TIMING, safeguards = ALL_ORDER_SAFEGUARDS) {
 		this.#electedMs = electedMs;
 		this.#timing = timing;
-		this.#safeguards = mechanisms;
+		this.#safeguards = safeguards;
 		this.#loadLimiter = new TokenBucket({perSecond: 1, burst: 2}, electedMs);
 	}
 
-	/** Entry hosts with a view lease now. */
+	/** Returns the number of entry hosts whose view lease is valid. */
 	countSessions(nowMs: number): number {
 		return [...this.#sessions.values()].filter(session => session.leaseUntilMs > nowMs).length;
 	}
 
-	/** Renews an entry host's view lease and returns its length in milliseconds. */
+	/** Renews an entry host's view lease and returns its duration in milliseconds. */
 	renewViewLease(message: RenewRequest, nowMs: number): number {
 		for (const announcement of message.announcements ?? []) {
 			this.observe(announcement, nowMs);
@@ -169,7 +184,7 @@
 		return this.#timing.viewLeaseMs;
 	}
 
-	/** Takes an announcement of a server, which tells where orders go. */
+	/** Records an announcement of a server, which contains the address for orders and the server's load. */
 	observe(announcement: Announcement, nowMs: number): void {
 		const previous = this.#observations.get(announcement.server)?.announcement;
 		if (!previous || isNewerAnnouncement(announcement, previous)) {
@@ -177,7 +192,7 @@
 		}
 	}
 
-	/** Notes what became of an order; what follows from it comes with the next tick. */
+	/** Records the result of sending or querying an order. Proposes to settle a finished order; retries come with a tick. */
 	handleReport(report: OrderReport, clock: LeaseClock): ControllerEffect[] {
 		const attempt = this.#orderAttempts.get(report.server);
 		if (attempt?.order !== report.order) {
@@ -211,7 +226,7 @@
 		return [];
 	}
 
-	/** Looks at everything once and returns what is due. */
+	/** Runs the control loop once for changes, orders and claims. */
 	tick(state: ControlState, clock: LeaseClock): ControllerEffect[] {
 		return [
 			...this.#advanceChanges(state, clock),
@@ -220,7 +235,10 @@
 		];
 	}
 
-	/** Decides at most one role change: as the operators have declared, or by itself if they have asked for that. */
+	/**
+	 * Plans at most one role change: one that operators have declared in an engine resource, or an automatic one if the
+	 * policy enables them.
+	 */
 	planRoleChanges(state: ControlState, engines: readonly Announcement[], clock: LeaseClock): ControllerEffect[] {
 		if (clock.nowMs < this.#nextRolePlanMs) {
 			return [];
@@ -248,7 +266,7 @@
 		return this.#removeOldAutomaticChanges(state, clock);
 	}
 
-	/** An engine resource says which role its engine should play. */
+	/** Plans a role change for the first engine whose announced role differs from the role in its engine resource. */
 	#planDeclaredRole(state: ControlState, engines: readonly Announcement[], clock: LeaseClock): Command | undefined {
 		for (const {name, version, specification} of state.listResources()) {
 			const announced = specification.kind === 'engine' ? engines.find(({server}) => server === name) : undefined;
@@ -295,7 +313,7 @@
 		};
 	}
 
-	/** Automatic changes leave a trace for a while, then make room. */
+	/** Removes one finished automatic change whose retention time is over. */
 	#removeOldAutomaticChanges(state: ControlState, clock: LeaseClock): ControllerEffect[] {
 		const oldChange = state.listResources().find(({name, status}) => name.startsWith(AUTOMATIC_PREFIX)
 			&& (status?.phase === CHANGE_PHASES.done || status?.phase === CHANGE_PHASES.failed)
@@ -349,7 +367,10 @@
 		};
 	}
 
-	/** Returns the story's next sentence once nothing runs at the server and nobody can send there any more. */
+	/**
+	 * Returns the note for the change's history once the server is drained: no entry host sends to it any more and it is
+	 * idle. Returns undefined before that.
+	 */
 	#describeFinishedDrain(resource: Resource, change: ChangeSpecification, nowMs: number): string | undefined {
 		const haveEarlierLeasesExpired = nowMs - this.#electedMs >= this.#timing.viewLeaseMs || !this.#safeguards.awaitViewAcknowledgements;
 		if (!haveEarlierLeasesExpired) {
@@ -370,11 +391,14 @@
 		return `All ${liveSessions.length} entry hosts have stopped sending to ${change.server}, and nothing runs there any more.`;
 	}
 
-	/** Load reports lag: only reports made after the last entry host stopped count. */
+	/**
+	 * Returns whether a server has no work left. Load reports lag behind, so only a report made after the last entry host
+	 * stopped sending counts: the second announcement after the first check.
+	 */
 	#isIdle(name: string, server: string, nowMs: number): boolean {
 		const observation = this.#observations.get(server);
 		if (!observation || nowMs - observation.atMs > this.#timing.serverTimeoutMs) {
-			// A server that has been silent for long runs nothing that could be cut by waiting less.
+			// A server that has been silent for so long counts as gone, so no running work can be interrupted.
 			return nowMs - this.#electedMs >= this.#timing.serverTimeoutMs;
 		}
 
@@ -413,7 +437,7 @@
 			return undefined;
 		}
 
-		// An order whose sending is not remembered may have gone out: from another leader, or without an answer.
+		// The order may have been sent already: by a previous leader, or by this one without getting a response.
 		if (attempt.state !== 'unsent' && this.#safeguards.queryBeforeResend) {
 			attempt.lastTryMs = nowMs;
 			return {
@@ -438,7 +462,7 @@
 		};
 	}
 
-	/** The predecessor's authority, and any order it wrote at the end of it, are over. */
+	/** Returns whether the previous leader's lease has expired and every order written under it has arrived. */
 	#hasPreviousLeaseExpired(nowMs: number): boolean {
 		const waitMs = Math.max(this.#timing.leaderLeaseMs + this.#timing.orderTransitMs, this.#timing.minTakeoverMs);
 		return !this.#safeguards.awaitLeaseExpiry || nowMs - this.#electedMs >= waitMs;
@@ -480,7 +504,7 @@
 		return effects;
 	}
 
-	/** Keeps a proposal from being made again while it is on its way. */
+	/** Returns whether to make a proposal; false while the same proposal was made recently and may still be in progress. */
 	#shouldPropose(key: string, nowMs: number): boolean {
 		const lastMs = this.#lastProposedMs.get(key) ?? Number.NEGATIVE_INFINITY;
 		if (nowMs - lastMs < this.#timing.orderRetryMs) {
@@ -498,7 +522,7 @@
 	}
 }
 
-/** Limits a rate, with a burst. */
+/** Token-bucket rate limiter. */
 export class TokenBucket {
 	readonly #perMs: number;
 	readonly #burst: number;
@@ -512,7 +536,7 @@
 		this.#atMs = nowMs;
 	}
 
-	/** Takes one token if there is one. */
+	/** Takes a token and returns true, or returns false if the bucket is empty. */
 	take(nowMs: number): boolean {
 		this.#tokens = Math.min(this.#burst, this.#tokens + ((nowMs - this.#atMs) * this.#perMs));
 		this.#atMs = nowMs;
@@ -526,11 +550,11 @@
 }
 
 /**
- * Tells whether an announcement came later than another of the same server.
+ * Returns whether an announcement is newer than another one of the same server.
  *
  * @example
  * ```ts
- * isNewer({...announcement, sequence: 8}, {...announcement, sequence: 7}); // true
+ * isNewerAnnouncement({...announcement, sequence: 8}, {...announcement, sequence: 7}); // true
  * ```
  */
 export function isNewerAnnouncement(candidate: Announcement, previous: Announcement): boolean {
@@ -542,12 +566,12 @@
 }
 
 /**
- * Writes the declaration of a role change.
+ * Creates the command that declares a role change.
  *
- * @param name - The change's name; the same name is declared once.
+ * @param name - Name of the change. It is also the request ID, so the change is declared only once.
  * @example
  * ```ts
- * createRoleChange('stage-e3-1', {server: 'e3', role: 'prefill', reason: 'cold caches'}, authority);
+ * createRoleChange('stage-e3-1', {server: 'e3', role: 'prefill', reason: 'cold caches'}, clock);
  * ```
  */
 export function createRoleChange(name: string, change: {readonly server: string; readonly role: EngineRole; readonly reason: string}, clock: LeaseClock): Command {
@@ -568,7 +592,7 @@
 	return [...engine.models ?? []].toSorted().join(' ');
 }
 
-/** Engines that serve the same models can take each other's work. */
+/** Groups engines by the models that they serve. Engines of a pool can take over each other's work. */
 function groupPools(engines: readonly Announcement[]): Announcement[][] {
 	const pools = new Map<string, Announcement[]>();
 	for (const engine of engines) {
--- a/src/control/ledger.ts
+++ b/src/control/ledger.ts
@@ -1,5 +1,5 @@
 /**
- * The ledger of work that may not be repeated: which attempt may run a key, and how it ended.
+ * Ledger of non-repeatable requests: which attempt may execute an idempotency key, and its result.
  *
  * @module
  */
@@ -12,6 +12,7 @@
 } as const;
 export type LedgerState = keyof typeof LEDGER_STATES;
 
+/** State of one idempotency key. */
 export type LedgerRecord = {
 	readonly key: string;
 	readonly fingerprint: string;
@@ -25,19 +26,23 @@
 
 export type LedgerSnapshot = {
 	readonly records: readonly LedgerRecord[];
+	/** Attempts that were given up, with the time; a claim of theirs that arrives late is not granted. */
 	readonly abandoned: ReadonlyArray<readonly [string, number]>;
 };
 
 const EMPTY_LEDGER: LedgerSnapshot = {records: [], abandoned: []};
-/** How long an outcome is kept and a key is not run again, milliseconds. */
+/** How long an outcome is stored, and its key therefore not executed again, in milliseconds. */
 export const LEDGER_RETENTION_MS = 24 * 60 * 60 * 1000;
-/** Most records held; a claim beyond it is refused rather than an outcome forgotten. */
+/** Maximum number of records. Beyond it a new claim is refused rather than a stored outcome removed. */
 export const MAX_LEDGER_RECORDS = 500_000;
 
-/** Keys under which a host holds a backend server for one suspected request; they lock, they record no work. */
+/**
+ * Prefix of keys that are locks instead of records of work: an entry host reserves a backend server with such a key to
+ * run a suspected poison request alone.
+ */
 export const QUARANTINE_PREFIX = 'quarantine/';
 
-/** The ledger; changed only by commands of the log. */
+/** Stores claims and outcomes of idempotency keys. Modified only by commands of the replicated log. */
 export class Ledger {
 	readonly #claimBeforeSend: boolean;
 	readonly #records = new Map<string, LedgerRecord>();
@@ -62,12 +67,12 @@
 		return this.#records.get(key);
 	}
 
-	/** Claims that nobody has settled. */
+	/** Returns the records of claims that are not settled. */
 	listOpenClaims(): LedgerRecord[] {
 		return [...this.#records.values()].filter(record => record.state === LEDGER_STATES.claimed);
 	}
 
-	/** Grants the key to an attempt, or tells what became of it. */
+	/** Grants a key to an attempt, or returns the state of the attempt that already has it. */
 	claim(command: ClaimCommand): LedgerOutcome {
 		const existing = this.#records.get(command.key);
 		if (this.#abandonedAttempts.has(command.attempt)) {
@@ -90,12 +95,12 @@
 		return createOutcome(state, existing.attempt, existing.host, existing.answer);
 	}
 
-	/** Records how an attempt ended. What is done stays done; an unknown end may still become known. */
+	/** Records the outcome of an attempt. `done` and `not-run` are final, `unknown` may still be replaced. */
 	settle(command: SettleCommand): LedgerOutcome {
 		const existing = this.#records.get(command.key);
 		if (existing?.attempt !== command.attempt) {
 			if (command.outcome === 'not-run') {
-				// The claim may still be on its way; it must not be granted any more.
+				// The claim may still be in transit and must not be granted when it arrives.
 				this.#abandonedAttempts.set(command.attempt, command.at);
 			}
 
@@ -118,7 +123,7 @@
 		return createOutcome(command.outcome, existing.attempt, existing.host, command.answer);
 	}
 
-	/** Forgets what has been settled for longer than the retention. */
+	/** Removes settled records and abandoned attempts that are older than the retention time. */
 	removeExpired(nowMs: number): void {
 		for (const [key, record] of this.#records) {
 			const age = nowMs - record.settledAtMs;
@@ -169,7 +174,7 @@
 		return createOutcome('granted', command.attempt, command.host);
 	}
 
-	/** Moves a record to the end, so that the order of the map is the order of settling. */
+	/** Moves a record to the end, so that settled records are in the order in which they were settled. */
 	#replace(record: LedgerRecord): void {
 		this.#records.delete(record.key);
 		this.#records.set(record.key, record);
--- a/src/control/metrics.ts
+++ b/src/control/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Counters of a control host.
+ * Prometheus metrics of a control host.
  *
  * @module
  */
--- a/src/control/order.ts
+++ b/src/control/order.ts
@@ -1,8 +1,8 @@
 /**
- * Sends orders to backend servers and reads back what became of them.
+ * Sends orders to backend servers over HTTP and queries their status.
  *
- * Every order goes out on a connection opened for it. For a server that does not check fencing numbers the authority
- * is checked after the connection stands, right before the bytes are written.
+ * Every order is sent on a new connection. For a server that does not check fencing numbers, the leader lease is
+ * checked once the connection is established, immediately before the request is written.
  *
  * @module
  */
@@ -18,6 +18,7 @@
 const MAX_REPLY_BYTES = 65_536;
 const HTTP_CONFLICT = 409;
 
+/** Response of a backend server to an order or to a status query. */
 export type OrderReply = {
 	readonly status: number;
 	readonly body: {
@@ -32,23 +33,23 @@
 	readonly path: string;
 	readonly body: string;
 	readonly headers?: Readonly<Record<string, string>>;
-	/** Whether the bytes may still be written, asked once the connection stands. */
+	/** Whether the request may still be written; called once the connection is established. */
 	readonly mayWrite: () => boolean;
 };
 
-/** How orders reach backend servers. */
+/** Delivers orders to backend servers. */
 export interface OrderTransport {
-	/** Sends an order, unless its time has passed; never fails, says what is known. */
+	/** Sends an order unless it has expired. Never rejects: every failure is part of the report. */
 	send(effect: SendOrderEffect): Promise<OrderReport>;
 	/**
-	 * Asks what became of an order.
+	 * Queries the status of an order.
 	 *
-	 * @param isOwn - Whether nobody else can have sent it.
+	 * @param isOwn - Whether no other leader can have sent it.
 	 */
 	queryOrder(server: Announcement, order: OpenOrder, isOwn: boolean): Promise<OrderReport>;
 }
 
-/** Orders in the project's own form. */
+/** Delivers orders over the HTTP interface of the project's own engines. */
 export class HttpOrderTransport implements OrderTransport {
 	readonly #clock: Clock;
 
@@ -66,7 +67,7 @@
 }
 
 /**
- * Sends an order and reports what the server said; the read-back tells when it is done.
+ * Sends an order and reports the server's response. An order that runs longer is completed by a later query.
  *
  * @example
  * ```ts
@@ -85,11 +86,11 @@
 }
 
 /**
- * Asks a server for the last order it took.
+ * Asks a server for its last order and reports the status of the given one.
  *
  * @example
  * ```ts
- * const report = await readBack(server, order);
+ * const report = await queryOrder(server, order);
  * report.type; // 'done', 'running', 'absent', 'failed' or 'lost'
  * ```
  */
@@ -143,11 +144,11 @@
 }
 
 /**
- * Exchanges one request on a connection opened for it; undefined without a whole answer in time.
+ * Sends one request on a new connection. Returns undefined if no complete response arrives in time.
  *
  * @example
  * ```ts
- * const reply = await exchange(server, {method: 'GET', path: '/orders', body: '', mayWrite: () => true});
+ * const reply = await sendHttpRequest(server, {method: 'GET', path: '/orders', body: '', mayWrite: () => true});
  * ```
  */
 export async function sendHttpRequest(server: Announcement, request: OrderRequest): Promise<OrderReply | undefined> {
--- a/src/control/reconfiguration.ts
+++ b/src/control/reconfiguration.ts
@@ -1,8 +1,8 @@
 /**
- * Changes of the control replicas: what is refused, and the next configuration on the way.
+ * Reconfiguration of the replicated log: validates a change of voters and computes its next step.
  *
- * A new replica is first a learner; when it has caught up, a joint configuration takes it in (and, for a
- * replacement, leaves the old one out), and the repair ends when the new voter holds the final configuration.
+ * A new replica is first added as a learner. When it has caught up, a joint configuration makes it a voter and, for a
+ * replacement, removes the old voter. The reconfiguration is complete when the new voter has the final configuration.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import {createProblem, type Problem} from '../base/problem.js';
 import type {Configuration, Member} from '../generated/types.js';
 
-/** A change of members under way. */
+/** A change of voters: `add` without `remove`, `remove` without `add`, or both for a replacement. */
 export type Reconfiguration = {
 	readonly add?: Member;
 	readonly remove?: string;
@@ -21,6 +21,7 @@
 	readonly alive: boolean;
 };
 
+/** The leader's current configuration and the replication progress of its members. */
 export type ConfigurationStatus = {
 	readonly configuration: Configuration;
 	readonly isCommitted: boolean;
@@ -29,14 +30,15 @@
 };
 
 export const MAX_VOTERS = 7;
+/** A learner may become a voter when it is at most this many entries behind the commit index. */
 const MAX_CATCH_UP_LAG = 100;
 
 /**
- * Checks whether a change of members may begin.
+ * Checks whether a reconfiguration may start. Fails if another one is in progress or the quorum would be at risk.
  *
  * @example
  * ```ts
- * checkRepair({remove: 'b'}, view); // Either.left(…) if the rest would have no live majority
+ * validateReconfiguration({remove: 'b'}, status, undefined); // Either.left(…) if too few of the remaining voters are alive
  * ```
  */
 export function validateReconfiguration(reconfiguration: Reconfiguration, status: ConfigurationStatus, current: Reconfiguration | undefined): Either.Either<Problem, Reconfiguration> {
@@ -73,11 +75,11 @@
 }
 
 /**
- * Finds the next configuration on the way of a repair; undefined while there is something to wait for.
+ * Returns the next configuration to propose for a reconfiguration, or undefined while it must wait or is complete.
  *
  * @example
  * ```ts
- * nextConfiguration({add: member}, view)?.learners; // [member]
+ * planNextConfiguration({add: member}, status)?.learners; // [member]
  * ```
  */
 export function planNextConfiguration(reconfiguration: Reconfiguration, status: ConfigurationStatus): Configuration | undefined {
@@ -107,11 +109,11 @@
 }
 
 /**
- * Tells whether a repair is finished: the final configuration is committed and the new voter holds it.
+ * Returns whether a reconfiguration is complete: the final configuration is committed and the new voter has it.
  *
  * @example
  * ```ts
- * isRepaired({add: member}, view);
+ * isReconfigurationComplete({add: member}, status);
  * ```
  */
 export function isReconfigurationComplete(reconfiguration: Reconfiguration, status: ConfigurationStatus): boolean {
@@ -124,11 +126,11 @@
 }
 
 /**
- * Says in words what a repair does.
+ * Describes a reconfiguration for operators and the log.
  *
  * @example
  * ```ts
- * describeRepair({add: member, remove: '6f1c'}); // 'host c2 takes the place of replica 6f1c'
+ * describeReconfiguration({add: member, remove: '6f1c'}); // 'host c2 takes the place of replica 6f1c'
  * ```
  */
 export function describeReconfiguration(reconfiguration: Reconfiguration): string {
--- a/src/control/reconfigurator.ts
+++ b/src/control/reconfigurator.ts
@@ -1,9 +1,9 @@
 /**
- * Changes of the control replicas under way: one at a time, carried forward by the leader.
+ * Runs reconfigurations of the replicated log on the leader, one at a time.
  *
- * Operators begin a repair by hand; a control host that asks to be taken in begins one by itself. A replica that came
- * back with an empty data folder takes the place of its former self, and a spare takes the place of one that stays
- * away. A step machine: time and the view of the log are handed in.
+ * A reconfiguration is started by an operator, or by the leader when a control host asks to join. A replica that
+ * restarted with an empty data folder replaces the voter that had its address, and a spare replica replaces a voter that
+ * stays unreachable. A state machine without I/O; the caller passes the current time and the configuration status.
  *
  * @module
  */
@@ -15,15 +15,15 @@
 } from './reconfiguration.js';
 
 export type ReconfigurationTiming = {
-	/** How long a voter must be away before a spare takes its place, milliseconds. */
+	/** How long a voter must be unreachable before a spare replaces it, milliseconds. */
 	readonly replaceAfterMs: number;
-	/** How long a repair may wait for its new replica before it is given up, milliseconds. */
+	/** How long a reconfiguration waits for its new replica before it is abandoned, milliseconds. */
 	readonly abandonAfterMs: number;
 };
 
-/** A machine that restarts is back within a few seconds; replacing it then would cost more than waiting. */
+/** A restarting host returns within a few seconds, and replacing it would cost more than waiting that long. */
 export const DEFAULT_RECONFIGURATION_TIMING: ReconfigurationTiming = {replaceAfterMs: 8000, abandonAfterMs: 4000};
-/** Voters to aim for: five bear the loss of two. */
+/** Number of voters up to which joining hosts are added: five voters tolerate the failure of two. */
 export const TARGET_VOTERS = 5;
 
 export type ReconfigurationEvent
@@ -31,7 +31,7 @@
 		| {readonly type: 'abandoned'; readonly reconfiguration: Reconfiguration}
 		| {readonly type: 'propose-configuration'; readonly configuration: Configuration};
 
-/** The repairs of one term of leadership. */
+/** Runs the reconfigurations of one term of leadership. */
 export class Reconfigurator {
 	readonly #timing: ReconfigurationTiming;
 	readonly #lastAliveMs = new Map<string, number>();
@@ -46,7 +46,7 @@
 		return this.#current;
 	}
 
-	/** Begins a repair, unless it would endanger the quorum or another one is under way. */
+	/** Starts a reconfiguration, unless it would put the quorum at risk or another one is in progress. */
 	start(reconfiguration: Reconfiguration, status: ConfigurationStatus, nowMs: number): Either.Either<Problem, Reconfiguration> {
 		const validated = validateReconfiguration(reconfiguration, status, this.#current);
 		if (Either.isRight(validated)) {
@@ -57,7 +57,7 @@
 		return validated;
 	}
 
-	/** Finds the repair that takes a control host in; undefined while it is not wanted. */
+	/** Returns the reconfiguration that a joining control host requires, or undefined if it must not be added now. */
 	planJoin(member: Member, status: ConfigurationStatus, nowMs: number): Reconfiguration | undefined {
 		const {voters, learners} = status.configuration;
 		if (this.#current !== undefined || voters.some(voter => voter.replica === member.replica)) {
@@ -82,7 +82,7 @@
 		return lostVoter && {add: member, remove: lostVoter.replica};
 	}
 
-	/** Carries the current repair one step on. */
+	/** Advances the current reconfiguration by at most one step. */
 	tick(status: ConfigurationStatus, nowMs: number): ReconfigurationEvent | undefined {
 		this.#recordAliveVoters(status, nowMs);
 		const reconfiguration = this.#current;
--- a/src/control/service.ts
+++ b/src/control/service.ts
@@ -1,5 +1,6 @@
 /**
- * The control role of a process: the replica, the state it drives, and what the leader answers and does.
+ * Control role of a process: runs the replica and its control state, handles control messages, and runs the controller
+ * while this replica leads.
  *
  * @module
  */
@@ -41,22 +42,23 @@
 	readonly loggers: LoggerFactory;
 	readonly timing?: ReplicaTiming;
 	readonly onCommit?: () => void;
-	/** Called when committed commands were applied, or a snapshot took their place. */
+	/** Called after committed commands have been applied or a snapshot has been restored. */
 	readonly onApplied?: () => void;
-	/** Engines that are announced now, for the choice of roles. */
+	/** Returns the engines that are currently announced, for planning role changes. */
 	readonly listEngines?: () => Announcement[];
-	/** How orders reach engines; the project's own form if absent. */
+	/** Transport for orders to engines; by default the HTTP interface of the project's own engines. */
 	readonly orderTransport?: OrderTransport;
 	readonly controllerTiming?: ControllerTiming;
 	readonly orderSafeguards?: OrderSafeguards;
-	/** Every control host heard of so far; `peers` if absent. */
+	/** Returns all control hosts discovered so far; `peers` if absent. */
 	readonly listPeers?: () => readonly Address[];
-	/** Where this host is reached, if it asks to be taken in by itself; `peers` are asked. */
+	/** Address of this host. If present, the host asks the control hosts to add it as a voter. */
 	readonly self?: Peer;
-	/** Whether the whole fleet starts for the first time; otherwise nobody forms a first configuration. */
+	/** Whether this is the first start of the deployment, so that an initial configuration may be created; true if absent. */
 	readonly canBootstrap?: boolean;
 };
 
+/** An entry host's connection and the version of the last view update sent on it. */
 type ViewSubscriber = {
 	connection: Connection;
 	sentVersion: number;
@@ -66,10 +68,10 @@
 const BOOTSTRAP_RETRY_MS = 100;
 const HELLO_TIMEOUT_MS = 500;
 const JOIN_INTERVAL_MS = 500;
-/** Drift between the steady clock and the time of day, from one look to the next, that means a sleep or a step. */
+/** A larger change of the offset between the wall clock and the monotonic clock means a suspended machine or a clock step. */
 const CLOCK_JUMP_THRESHOLD_MS = 100;
 
-/** The running control role. Whoever started it closes it. */
+/** The running control role of a process. The caller must close it. */
 export class ControlService {
 	readonly #options: ControlServiceOptions;
 	readonly #logger: Logger;
@@ -99,7 +101,7 @@
 	}
 
 	/**
-	 * Opens the data folder and starts the replica, or waits to be bootstrapped or admitted.
+	 * Opens the data folder and starts the replica. Without stored state it waits to be bootstrapped or added as a voter.
 	 *
 	 * @example
 	 * ```ts
@@ -112,7 +114,7 @@
 			return replica;
 		}
 
-		// The storage reports to a service that is made after it.
+		// The storage calls back into the service, which does not exist yet.
 		const holder: {service?: ControlService} = {};
 		const storage = await Storage.open(options.folder, {
 			onSynced: sequence => holder.service?.markSynced(sequence),
@@ -140,43 +142,43 @@
 		return this.#node?.replica.commitIndex ?? 0;
 	}
 
-	/** Whether a majority was in touch with this replica a moment ago. */
+	/** Whether this replica leads with a valid lease, or has heard from the leader within an election timeout. */
 	get hasQuorum(): boolean {
 		return this.#node?.replica.hasQuorumContact(this.#options.clock.monotonicMs()) ?? false;
 	}
 
-	/** Whether this replica leads, knows all that is committed, and has no successor yet. */
+	/** Whether this replica leads, has the current commit index, and no other leader can exist yet. */
 	get holdsLeaderLease(): boolean {
 		return this.#holdsLeaderLease();
 	}
 
-	/** The state as far as this replica has applied the log. */
+	/** The control state after the last entry that this replica has applied. */
 	get state(): ControlState {
 		return this.#state;
 	}
 
-	/** Every replica of the configuration in force; empty before the first one. */
+	/** Returns all replicas of the current configuration; empty before there is one. */
 	listMembers(): Member[] {
 		return this.#node ? listMembers(this.#node.replica.configuration) : [];
 	}
 
-	/** Proposes a command here; refused unless this replica leads. */
+	/** Proposes a command on this replica; fails with `notLeader` unless it leads. */
 	async propose(command: Command): Promise<Either.Either<Problem, CommitResult>> {
 		return this.#node ? this.#node.propose(encodeValue(command)) : Either.left(createProblem('notLeader'));
 	}
 
-	/** Notes that the disk takes no writes; the replica goes on as one whose writes are slow. */
+	/** Logs the first of a series of failed disk writes. The replica keeps running as if its writes were slow. */
 	reportDiskFailure(problem: Problem): void {
 		if (!this.#isDiskFailing) {
 			this.#isDiskFailing = true;
-			this.#logger.error('The disk takes no writes.', {code: problem.code, reason: problem.text});
+			this.#logger.error('Writing to the data folder fails; retrying.', {code: problem.code, reason: problem.text});
 		}
 	}
 
 	markSynced(sequence: number): void {
 		if (this.#isDiskFailing) {
 			this.#isDiskFailing = false;
-			this.#logger.info('The disk takes writes again.');
+			this.#logger.info('Writing to the data folder works again.');
 		}
 
 		if (sequence > 0) {
@@ -184,7 +186,7 @@
 		}
 	}
 
-	/** Takes a message of the control protocol; true if it was one. */
+	/** Handles a message of the control protocol. Returns false for a message of another protocol. */
 	receive(message: Message, connection: Connection): boolean {
 		switch (message.type) {
 			case 'hello': {
@@ -229,7 +231,7 @@
 		}
 	}
 
-	/** Hands leadership over, so that a planned stop costs no election. */
+	/** Transfers leadership before a planned stop, so that the others need not wait for an election timeout. */
 	transferLeadership(): void {
 		this.#node?.transferLeadership();
 	}
@@ -258,7 +260,7 @@
 		}
 	}
 
-	/** Asks to be taken in until this replica votes; the leader alone answers, by doing it. */
+	/** Sends join requests until this replica is a voter. There is no reply: the leader acts, the others ignore them. */
 	#requestJoin(): void {
 		const {self} = this.#options;
 		if (!self) {
@@ -290,7 +292,7 @@
 			const configuration = createInitialConfiguration(self, this.#options.peers, replies)
 				?? findInitialConfiguration(this.#replica, this.#options.peers, replies);
 			if (configuration && !this.#node) {
-				this.#logger.info('Starts from the first configuration.', {voters: configuration.voters.map(({host}) => host)});
+				this.#logger.info('Starting with the initial configuration.', {voters: configuration.voters.map(({host}) => host)});
 				this.#startNode(configuration);
 				return;
 			}
@@ -316,7 +318,7 @@
 		}
 
 		const {hard, snapshot, entries} = this.#storage.persistentState;
-		const machine: StateMachine = {
+		const stateMachine: StateMachine = {
 			apply: entry => this.#apply(entry),
 			skip: index => {
 				this.#state.skip(index);
@@ -335,7 +337,7 @@
 			replica: this.#replica,
 			persistentState: {hard, snapshot: initialSnapshot, entries},
 			storage: this.#storage,
-			stateMachine: machine,
+			stateMachine,
 			clock: this.#options.clock,
 			random: this.#options.random,
 			logger: this.#options.loggers('consensus'),
@@ -380,7 +382,7 @@
 		}
 	}
 
-	/** Whether this replica leads, knows all that is committed and can have no successor yet. */
+	/** Whether this replica leads, has the current commit index, and no other leader can exist yet. */
 	#holdsLeaderLease(): boolean {
 		const node = this.#node;
 		return node !== undefined && node.replica.isLeaderReady && node.getLeaseExpiryMs() > this.#options.clock.monotonicMs();
@@ -417,7 +419,10 @@
 		return {nowMs, wallMs, leaseUntilMs};
 	}
 
-	/** A machine that slept has a steady clock that stood still: its lease is over though it does not look so. */
+	/**
+	 * Ignores the lease for one election timeout after a clock jump. The monotonic clock stands still while a machine is
+	 * suspended, so a lease that has expired meanwhile would still look valid.
+	 */
 	#detectClockJump(nowMs: number, wallMs: number): void {
 		const offsetMs = wallMs - nowMs;
 		if (Math.abs(offsetMs - (this.#clockOffsetMs ?? offsetMs)) > CLOCK_JUMP_THRESHOLD_MS) {
@@ -436,7 +441,7 @@
 
 		const term = this.#leaderTerm;
 		const {server, order} = effect;
-		this.#logger.info(effect.type === 'send-order' ? `Sends order ${order.order} to ${order.server}.` : `Reads back order ${order.order} from ${order.server}.`, {
+		this.#logger.info(effect.type === 'send-order' ? `Sending order ${order.order} to ${order.server}.` : `Querying order ${order.order} at ${order.server}.`, {
 			order: order.order, server: order.server, action: order.action, checksFence: server.checksFence ?? false,
 		});
 		const report = effect.type === 'send-order'
@@ -450,7 +455,7 @@
 			return;
 		}
 
-		this.#logger.info(`Order ${report.order} at ${report.server} is ${report.type}.`, {...report});
+		this.#logger.info(`Status of order ${report.order} at ${report.server}: ${report.type}.`, {...report});
 		for (const effect of this.#controller.handleReport(report, this.#readLeaseClock())) {
 			void this.#runEffect(effect);
 		}
@@ -458,15 +463,15 @@
 
 	#logProposal(command: Command): void {
 		if (command.type === 'advance') {
-			this.#logger.info(`Change ${command.change} becomes ${command.phase}.`, {change: command.change, phase: command.phase, reason: command.note});
+			this.#logger.info(`Proposing phase ${command.phase} for change ${command.change}.`, {change: command.change, phase: command.phase, reason: command.note});
 		}
 
 		if (command.type === 'put' && command.specification.kind === 'change') {
-			this.#logger.info(`Chooses the change ${command.name}.`, {change: command.specification, reason: command.specification.reason});
+			this.#logger.info(`Proposing change ${command.name}.`, {change: command.specification, reason: command.specification.reason});
 		}
 
 		if (command.type === 'settle') {
-			this.#logger.warn('Closes a claim whose host is gone.', {key: command.key, attempt: command.attempt});
+			this.#logger.warn('Settling a claim whose entry host has failed.', {key: command.key, attempt: command.attempt});
 		}
 	}
 
@@ -575,7 +580,7 @@
 	#startReconfiguration(reconfiguration: Reconfiguration, node: ConsensusNode): Either.Either<Problem, Reconfiguration> {
 		const started = this.#reconfigurator.start(reconfiguration, this.#getConfigurationStatus(node), this.#options.clock.monotonicMs());
 		if (Either.isRight(started)) {
-			this.#logger.info(`Begins a repair: ${describeReconfiguration(reconfiguration)}.`);
+			this.#logger.info(`Starting reconfiguration: ${describeReconfiguration(reconfiguration)}.`);
 			this.#tickReconfiguration(node);
 		}
 
@@ -587,7 +592,7 @@
 		if (event?.type === 'propose-configuration') {
 			node.proposeConfiguration(event.configuration);
 		} else if (event) {
-			this.#logger.info(`Repair ${event.type}: ${describeReconfiguration(event.reconfiguration)}.`);
+			this.#logger.info(`Reconfiguration ${event.type}: ${describeReconfiguration(event.reconfiguration)}.`);
 		}
 	}
 
@@ -634,7 +639,7 @@
 	}
 }
 
-/** Asks a control host who it is; undefined if it does not answer. */
+/** Requests a control host's identity and configuration; undefined if it does not reply in time. */
 async function requestWelcome(peer: Peer): Promise<Welcome | undefined> {
 	return new Promise(resolve => {
 		const connection = connect(peer, message => {
--- a/src/control/state.ts
+++ b/src/control/state.ts
@@ -1,6 +1,6 @@
 /**
- * The durable state: resources, planned changes, orders and the ledger. Every replica applies the same commands
- * in the same order and holds the same state.
+ * Replicated control state: resources, planned changes, open orders and the idempotency ledger. Every replica applies
+ * the same commands in the same order and therefore has the same state.
  *
  * @module
  */
@@ -12,20 +12,23 @@
 
 export type ResourceKind = Specification['kind'];
 
+/** An order to a backend server that is not settled yet. */
 export type OpenOrder = {
 	readonly server: string;
-	/** Fencing number: the index of the order in the log. */
+	/** Fencing number: the log index of the command that issued the order. */
 	readonly order: number;
 	readonly change: string;
 	readonly action: OrderAction;
 };
 
+/** Outcome of an operator's request, returned again if the request is resent. */
 type RememberedRequest = {
 	readonly requestId: string;
 	readonly atMs: number;
 	readonly outcome: CommandOutcome;
 };
 
+/** Key of a removed resource and the version at which it was removed. */
 type Removal = {
 	readonly key: string;
 	readonly version: number;
@@ -37,6 +40,7 @@
 	readonly clockMs: number;
 	readonly resources: readonly Resource[];
 	readonly removals: readonly Removal[];
+	/** Version up to which removals are no longer stored; older views need all resources. */
 	readonly removalFloor: number;
 	readonly orders: readonly OpenOrder[];
 	readonly requests: readonly RememberedRequest[];
@@ -47,9 +51,9 @@
 	draining: 'draining', drained: 'drained', ordered: 'ordered', done: 'done', failed: 'failed',
 } as const satisfies Record<ChangePhase, ChangePhase>;
 
-/** Name of the one resource that holds routes, services and limits. */
+/** Name of the only publication resource, which contains routes, services and limits. */
 export const PUBLICATION_NAME = 'current';
-/** Version that matches whatever is there. */
+/** Version that matches any version of a resource, and requests all resources in a read. */
 export const ANY_VERSION = -1;
 const REQUEST_RETENTION_MS = 60 * 60 * 1000;
 const MAX_REMEMBERED_REQUESTS = 20_000;
@@ -58,7 +62,7 @@
 	version: 0, viewVersion: 0, clockMs: 0, resources: [], removals: [], removalFloor: 0, orders: [], requests: [], ledger: {records: [], abandoned: []},
 };
 
-/** The replicated state; changed only by `apply`. */
+/** The replicated control state. Modified only by applying log entries. */
 export class ControlState {
 	readonly ledger: Ledger;
 	readonly #resources = new Map<string, Resource>();
@@ -90,7 +94,7 @@
 		}
 	}
 
-	/** Index of the last command applied. */
+	/** Index of the last log entry that was applied. */
 	get version(): number {
 		return this.#version;
 	}
@@ -100,7 +104,7 @@
 		return this.#viewVersion;
 	}
 
-	/** The latest wall clock that a command carried, milliseconds. */
+	/** The latest wall-clock time in any command, milliseconds. */
 	get clockMs(): number {
 		return this.#clockMs;
 	}
@@ -113,7 +117,7 @@
 		return [...this.#resources.values()];
 	}
 
-	/** The publication in force; undefined before the first one. */
+	/** The current publication; undefined before the first one. */
 	get publication(): Publication | undefined {
 		const specification = this.findResource('publication', PUBLICATION_NAME)?.specification;
 		return specification?.kind === 'publication' ? specification : undefined;
@@ -124,12 +128,12 @@
 		return this.listResources().filter(resource => isOpenChange(resource));
 	}
 
-	/** Orders that were issued and whose end is not known. */
+	/** Orders that were issued and are not settled. */
 	listOpenOrders(): OpenOrder[] {
 		return [...this.#orders.values()];
 	}
 
-	/** Applies the command at an index of the log. */
+	/** Applies the command at a log index and returns its outcome. */
 	apply(command: Command, index: number): CommandOutcome {
 		this.#version = index;
 		this.#clockMs = Math.max(this.#clockMs, command.at);
@@ -137,12 +141,12 @@
 		return this.#dispatch({...command, at: this.#clockMs}, index);
 	}
 
-	/** Notes an index that carries no command. */
+	/** Advances past a log entry that carries no command. */
 	skip(index: number): void {
 		this.#version = index;
 	}
 
-	/** What changed since a version; the whole state if that version is too old. */
+	/** Returns the resource changes since a version, or all resources if it is too old or newer than this state. */
 	createViewUpdate(from: number): ViewUpdate {
 		if (from < this.#removalFloor || from > this.#viewVersion) {
 			return {
@@ -204,14 +208,14 @@
 		}
 	}
 
-	/** A request that is sent again gets the answer it got the first time. */
-	#runOnce(requestId: string, atMs: number, run: () => CommandOutcome): CommandOutcome {
+	/** Executes a request once; a resent request gets the first outcome. */
+	#runOnce(requestId: string, atMs: number, execute: () => CommandOutcome): CommandOutcome {
 		const existing = this.#requests.get(requestId);
 		if (existing) {
 			return existing.outcome;
 		}
 
-		const outcome = run();
+		const outcome = execute();
 		this.#requests.set(requestId, {requestId, atMs, outcome});
 		return outcome;
 	}
@@ -221,7 +225,7 @@
 		const existing = this.#resources.get(createResourceKey(specification.kind, name));
 		const current = existing?.version ?? 0;
 		if (specification.kind === 'publication' && existing?.specification.kind === 'publication' && existing.specification.version >= specification.version) {
-			// What was published later stays in force, whichever arrives first.
+			// The highest publication version stays current, in whatever order publications arrive.
 			return {type: 'accepted', version: current};
 		}
 
@@ -242,9 +246,9 @@
 			return createConflict('versionConflict', existing.version, 'A planned change is not altered; delete it and declare another.');
 		}
 
-		const other = this.listOpenChanges().find(resource => involvesSameServer(resource, specification));
-		if (other) {
-			return createConflict('engineBusy', other.version, `Change ${other.name} is not finished.`);
+		const conflictingChange = this.listOpenChanges().find(resource => involvesSameServer(resource, specification));
+		if (conflictingChange) {
+			return createConflict('engineBusy', conflictingChange.version, `Change ${conflictingChange.name} is not finished.`);
 		}
 
 		const note = `Declared: ${describeChange(specification)}. No new work is sent there from now on.`;
@@ -344,11 +348,11 @@
 }
 
 /**
- * The key of a resource in views and removals.
+ * Returns the key of a resource, as used in view updates.
  *
  * @example
  * ```ts
- * resourceKey('engine', 'e1'); // 'engine/e1'
+ * createResourceKey('engine', 'e1'); // 'engine/e1'
  * ```
  */
 export function createResourceKey(kind: ResourceKind, name: string): string {
@@ -356,7 +360,7 @@
 }
 
 /**
- * Tells whether a resource is a planned change that is not finished.
+ * Returns whether a resource is a planned change that is not finished.
  *
  * @example
  * ```ts
@@ -374,7 +378,7 @@
 }
 
 /**
- * Tells whether a planned change keeps new work away from its server.
+ * Returns whether a resource is a planned change that excludes its server from new work.
  *
  * @example
  * ```ts
@@ -396,7 +400,7 @@
 }
 
 /**
- * Says in words what a planned change is.
+ * Describes a planned change for its history.
  *
  * @example
  * ```ts
@@ -416,7 +420,7 @@
 }
 
 /**
- * Says in words what an order asks for.
+ * Describes what an order asks for.
  *
  * @example
  * ```ts
