--- a/src/consensus/node.ts
+++ b/src/consensus/node.ts
@@ -33,6 +33,7 @@
 	readonly outcome: unknown;
 };
 
+/** Role of this replica, and the current term and leader. */
 export type Leadership = {
 	readonly role: ReplicaRole;
 	readonly term: number;
@@ -360,7 +361,7 @@
 
 	#onRoleChange(effect: Leadership): void {
 		const {role, term, leader} = effect;
-		this.#options.logger.info(`Became ${role} in term ${term}.`, {role, term, leader});
+		this.#options.logger.info(`Role is ${role} in term ${term}.`, {role, term, leader});
 		this.#options.onLeadershipChange({role, term, leader});
 	}
 
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -44,6 +44,7 @@
 		| {readonly type: 'entries'; readonly entries: readonly Entry[]}
 		| {readonly type: 'snapshot'; readonly snapshot: Snapshot};
 
+/** An effect that the caller must execute, in the order in which a step returns them. */
 export type ReplicaEffect
 	= | {readonly type: 'write'; readonly sequence: number; readonly records: readonly LogRecord[]}
 		| {readonly type: 'send'; readonly to: Member; readonly body: ConsensusBody}
@@ -53,6 +54,7 @@
 		| {readonly type: 'read'; readonly id: number; readonly index: number}
 		| {readonly type: 'read-refused'; readonly id: number};
 
+/** An input of the state machine. */
 export type ReplicaEvent
 	= | {readonly type: 'tick'}
 		| {readonly type: 'synced'; readonly sequence: number}
@@ -75,6 +77,7 @@
 	readonly maxEntriesPerAppend?: number;
 };
 
+/** What the leader knows about the log of another replica. */
 type PeerProgress = {
 	nextIndex: number;
 	matchIndex: number;
@@ -86,6 +89,7 @@
 	installUntilMs: number;
 };
 
+/** A read that waits until a quorum has acknowledged a round. */
 type PendingRead = {
 	readonly id: number;
 	readonly round: number;
@@ -112,9 +116,11 @@
 	#configuration: Configuration;
 	#configurationIndex: number;
 	#electionDeadlineMs = 0;
+	/** Until this time the current leader's lease may be valid, so votes are denied. */
 	#denyVotesUntilMs: number;
 	#heartbeatDueMs = 0;
 	#electedMs = 0;
+	/** Sequence number of the write that stores this candidate's own vote. */
 	#selfVoteSequence = Number.POSITIVE_INFINITY;
 	#isPreVoting = false;
 	#votes = new Set<string>();
@@ -128,6 +134,7 @@
 	#syncedSequence = 0;
 	#syncedIndex: number;
 	readonly #pendingWrites: Array<{sequence: number; lastIndex: number}> = [];
+	/** Messages that wait until a write is synced. */
 	#deferredSends: Array<{sequence: number; effect: ReplicaEffect}> = [];
 	#effects: ReplicaEffect[] = [];
 
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -2,8 +2,8 @@
  * Control loop of the leader: advances planned changes, sends orders to backend servers, plans role changes, and settles
  * the open claims of entry hosts that have failed.
  *
- * A state machine without I/O; the caller passes the control state, the current time and the leader lease, and executes
- * the effects that it returns.
+ * A state machine without I/O: the caller passes the control state, the current time and the leader lease, and executes
+ * the returned effects.
  *
  * @module
  */
@@ -39,7 +39,10 @@
 	readonly orderRetryMs: number;
 	/** A server that has not announced itself for this long counts as gone. */
 	readonly serverTimeoutMs: number;
-	/** Minimum time after an election before the new leader orders servers without fencing, whatever the lease says. */
+	/**
+	 * Minimum time between the last order of one leader and the first order of the next to servers without fencing, even
+	 * if the previous lease expires earlier.
+	 */
 	readonly minTakeoverMs: number;
 };
 
@@ -53,7 +56,7 @@
 	minTakeoverMs: 0,
 };
 
-/** Send an order to a backend server. */
+/** Effect that sends an order to a backend server. */
 export type SendOrderEffect = {
 	readonly type: 'send-order';
 	readonly server: Announcement;
@@ -117,7 +120,10 @@
 	readonly leaseUntilMs: number;
 };
 
-/** Safety rules for orders to backend servers. The fuzzer disables one at a time to prove that its checks notice. */
+/**
+ * Safety rules for orders to backend servers, all enabled by default. The fuzzer disables one at a time to prove that its
+ * checks detect the resulting fault.
+ */
 export type OrderSafeguards = {
 	/** Orders to servers without fencing wait until the previous leader's lease has expired. */
 	readonly awaitLeaseExpiry: boolean;
@@ -141,6 +147,7 @@
 	readonly #sessions = new Map<string, Session>();
 	readonly #observations = new Map<string, ServerObservation>();
 	readonly #orderAttempts = new Map<string, OrderAttempt>();
+	/** For each draining change, the announcement that its server had made at the first idle check. */
 	readonly #drainBaselines = new Map<string, {readonly sequence: number; readonly incarnation: number}>();
 	readonly #lastProposedMs = new Map<string, number>();
 	readonly #loadLimiter: TokenBucket;
@@ -192,7 +199,7 @@
 		}
 	}
 
-	/** Records the result of sending or querying an order. Proposes to settle a finished order; retries come with a tick. */
+	/** Records the result of sending or querying an order, and settles a finished order. A later tick makes retries. */
 	handleReport(report: OrderReport, clock: LeaseClock): ControllerEffect[] {
 		const attempt = this.#orderAttempts.get(report.server);
 		if (attempt?.order !== report.order) {
--- a/test/controller.test.ts
+++ b/test/controller.test.ts
@@ -8,18 +8,18 @@
 	Announcement, ChangeSpecification, Command, RenewRequest,
 } from '../src/generated/types.js';
 
-/** A leader's controller with its state; commands it proposes are applied at once. */
-class Leader {
+/** A controller with its own control state. Proposed commands are applied immediately. */
+class TestLeader {
 	readonly state: ControlState;
 	controller: Controller;
 	nowMs = 100_000;
 	index: number;
 	leaseMs = 500;
 
-	constructor(state = new ControlState(), index = 0, mechanisms = ALL_ORDER_SAFEGUARDS) {
+	constructor(state = new ControlState(), index = 0, safeguards = ALL_ORDER_SAFEGUARDS) {
 		this.state = state;
 		this.index = index;
-		this.controller = new Controller(this.nowMs, DEFAULT_CONTROLLER_TIMING, mechanisms);
+		this.controller = new Controller(this.nowMs, DEFAULT_CONTROLLER_TIMING, safeguards);
 	}
 
 	apply(command: Command) {
@@ -33,13 +33,13 @@
 		});
 	}
 
-	/** Lets time pass; entry hosts renew with the newest view. */
+	/** Advances the time in steps of 100 ms. At each step entry hosts renew their view leases with the newest view. */
 	advance(durationMs: number, renewals: ReadonlyArray<Partial<RenewRequest>> = [{}]): ControllerEffect[] {
 		const effects: ControllerEffect[] = [];
 		for (let passed = 0; passed < durationMs; passed += 100) {
 			this.nowMs += 100;
 			for (const renewal of renewals) {
-				this.controller.renewViewLease({...renew(this.state.viewVersion), ...renewal}, this.nowMs);
+				this.controller.renewViewLease({...createRenewal(this.state.viewVersion), ...renewal}, this.nowMs);
 			}
 
 			effects.push(...this.tick());
@@ -70,55 +70,55 @@
 
 let sequence = 0;
 
-test('a drain waits for the lease of hosts that an earlier leader may have known', () => {
-	const leader = new Leader();
+test('a drain waits until view leases granted by an earlier leader have expired', () => {
+	const leader = new TestLeader();
 	leader.declare('d', {action: 'drain', server: 'e1'});
-	leader.advance(DEFAULT_CONTROLLER_TIMING.viewLeaseMs - 200, [{announcements: [announce('e1')]}]);
+	leader.advance(DEFAULT_CONTROLLER_TIMING.viewLeaseMs - 200, [{announcements: [createAnnouncement('e1')]}]);
 	assert.equal(leader.phase('d'), 'draining');
-	drain(leader);
+	advanceForDrain(leader);
 	assert.equal(leader.phase('d'), 'drained');
 });
 
-test('a drain waits for a host that has not acknowledged the view, and no longer than its lease', () => {
-	const leader = new Leader();
-	drain(leader);
-	leader.controller.renewViewLease({...renew(0), host: 'late'}, leader.nowMs);
+test('a drain waits for a host that has not acknowledged the view, but not longer than its lease', () => {
+	const leader = new TestLeader();
+	advanceForDrain(leader);
+	leader.controller.renewViewLease({...createRenewal(0), host: 'late'}, leader.nowMs);
 	leader.declare('d', {action: 'drain', server: 'e1'});
-	leader.advance(800, [{announcements: [announce('e1')]}]);
+	leader.advance(800, [{announcements: [createAnnouncement('e1')]}]);
 	assert.equal(leader.phase('d'), 'draining');
-	drain(leader);
+	advanceForDrain(leader);
 	assert.equal(leader.phase('d'), 'drained');
 });
 
-test('a drain waits for running requests, by the hosts\' count and by the engine\'s', () => {
-	const leader = new Leader();
+test('a drain waits for running requests reported by entry hosts and by the engine', () => {
+	const leader = new TestLeader();
 	leader.declare('d', {action: 'drain', server: 'e1'});
-	drain(leader, {running: [{server: 'e1', count: 1}]});
+	advanceForDrain(leader, {running: [{server: 'e1', count: 1}]});
 	assert.equal(leader.phase('d'), 'draining');
-	drain(leader, {}, 1);
+	advanceForDrain(leader, {}, 1);
 	assert.equal(leader.phase('d'), 'draining');
-	drain(leader);
+	advanceForDrain(leader);
 	assert.equal(leader.phase('d'), 'drained');
 });
 
-test('an order is read back before it is sent, and settled once', () => {
-	const leader = new Leader();
+test('an order is queried before it is sent, and settled once', () => {
+	const leader = new TestLeader();
 	leader.declare('r', {action: 'role', server: 'e1', role: 'decode'});
-	const effects = drain(leader);
+	const effects = advanceForDrain(leader);
 	assert.equal(leader.phase('r'), 'ordered');
-	const back = effects.find(effect => effect.type === 'query-order');
-	assert.ok(back?.type === 'query-order');
+	const query = effects.find(effect => effect.type === 'query-order');
+	assert.ok(query?.type === 'query-order');
 	assert.ok(!effects.some(effect => effect.type === 'send-order'));
-	leader.controller.handleReport({type: 'absent', server: 'e1', order: back.order.order}, leader.authority());
+	leader.controller.handleReport({type: 'absent', server: 'e1', order: query.order.order}, leader.authority());
 	const sent = leader.advance(1200).find(effect => effect.type === 'send-order');
 	assert.ok(sent?.type === 'send-order');
-	settle(leader, sent.order.order);
+	reportDone(leader, sent.order.order);
 	assert.equal(leader.phase('r'), 'done');
 });
 
-test('an order without an answer is read back, and no other order goes to that engine meanwhile', () => {
-	const leader = new Leader();
-	const order = sendOrder(leader, 'r');
+test('an order without a response is queried, and no other order is sent to that engine meanwhile', () => {
+	const leader = new TestLeader();
+	const order = sendRoleOrder(leader, 'r');
 	leader.controller.handleReport({type: 'lost', server: 'e1', order}, leader.authority());
 	assert.equal(leader.declare('other', {action: 'role', server: 'e1', role: 'prefill'}).type, 'conflict');
 	const effects = leader.advance(5000);
@@ -126,46 +126,46 @@
 	assert.ok(!effects.some(effect => effect.type === 'send-order'));
 });
 
-test('an engine that checks no fences gets no order at the end of the lease', () => {
-	const leader = new Leader();
+test('an engine without fencing gets no order near the end of the leader lease', () => {
+	const leader = new TestLeader();
 	leader.leaseMs = DEFAULT_CONTROLLER_TIMING.orderTransitMs / 8;
 	leader.declare('r', {action: 'role', server: 'e1', role: 'decode'});
-	const effects = [...drain(leader, {}, 0, false), ...reportAbsent(leader)];
+	const effects = [...advanceForDrain(leader, {}, 0, false), ...reportOrderAbsent(leader)];
 	assert.ok(!effects.some(effect => effect.type === 'send-order'));
 	leader.leaseMs = 500;
 	assert.ok(leader.advance(1200).some(effect => effect.type === 'send-order'));
 });
 
-test('a new leader waits out its predecessor before it orders an engine without fences', () => {
-	const old = new Leader();
-	const order = sendOrder(old, 'r');
-	const next = new Leader(old.state, old.index);
-	next.controller.renewViewLease({...renew(next.state.viewVersion), announcements: [announce('e1', 0, false)]}, next.nowMs);
-	next.tick();
-	next.controller.handleReport({type: 'absent', server: 'e1', order}, next.authority());
-	const {leaderLeaseMs: authorityMs, orderTransitMs} = DEFAULT_CONTROLLER_TIMING;
-	assert.ok(!next.advance(authorityMs + orderTransitMs - 200).some(effect => effect.type === 'send-order'));
-	assert.ok(next.advance(1500).some(effect => effect.type === 'send-order'));
+test('a new leader waits for the previous leader lease to expire before it orders an engine without fencing', () => {
+	const previous = new TestLeader();
+	const order = sendRoleOrder(previous, 'r');
+	const successor = new TestLeader(previous.state, previous.index);
+	successor.controller.renewViewLease({...createRenewal(successor.state.viewVersion), announcements: [createAnnouncement('e1', 0, false)]}, successor.nowMs);
+	successor.tick();
+	successor.controller.handleReport({type: 'absent', server: 'e1', order}, successor.authority());
+	const {leaderLeaseMs, orderTransitMs} = DEFAULT_CONTROLLER_TIMING;
+	assert.ok(!successor.advance(leaderLeaseMs + orderTransitMs - 200).some(effect => effect.type === 'send-order'));
+	assert.ok(successor.advance(1500).some(effect => effect.type === 'send-order'));
 });
 
-test('without the wait a new leader orders while its predecessor still may', () => {
-	const old = new Leader();
-	const order = sendOrder(old, 'r');
-	const next = new Leader(old.state, old.index, {...ALL_ORDER_SAFEGUARDS, awaitLeaseExpiry: false});
-	next.controller.renewViewLease({...renew(next.state.viewVersion), announcements: [announce('e1', 0, false)]}, next.nowMs);
-	next.tick();
-	next.controller.handleReport({type: 'absent', server: 'e1', order}, next.authority());
-	const {leaderLeaseMs: authorityMs, orderTransitMs} = DEFAULT_CONTROLLER_TIMING;
-	assert.ok(next.advance(authorityMs + orderTransitMs - 200).some(effect => effect.type === 'send-order'));
+test('with the safeguard disabled, a new leader sends orders while the previous lease is valid', () => {
+	const previous = new TestLeader();
+	const order = sendRoleOrder(previous, 'r');
+	const successor = new TestLeader(previous.state, previous.index, {...ALL_ORDER_SAFEGUARDS, awaitLeaseExpiry: false});
+	successor.controller.renewViewLease({...createRenewal(successor.state.viewVersion), announcements: [createAnnouncement('e1', 0, false)]}, successor.nowMs);
+	successor.tick();
+	successor.controller.handleReport({type: 'absent', server: 'e1', order}, successor.authority());
+	const {leaderLeaseMs, orderTransitMs} = DEFAULT_CONTROLLER_TIMING;
+	assert.ok(successor.advance(leaderLeaseMs + orderTransitMs - 200).some(effect => effect.type === 'send-order'));
 });
 
-test('loads are admitted at the weight store\'s rate', () => {
-	const leader = new Leader();
+test('model loads are rate-limited to protect the weight store', () => {
+	const leader = new TestLeader();
 	for (let index = 0; index < 6; index++) {
 		leader.declare(`l${index}`, {action: 'load', server: `e${index}`, model: 'm'});
 	}
 
-	const announcements = () => Array.from({length: 6}, (_, index) => announce(`e${index}`));
+	const announcements = () => Array.from({length: 6}, (_, index) => createAnnouncement(`e${index}`));
 	let orders = 0;
 	for (let round = 0; round < 30; round++) {
 		const effects = leader.advance(100, [{announcements: announcements()}]);
@@ -175,8 +175,8 @@
 	assert.ok(orders >= 2 && orders <= 5, `${orders} loads in 3 s at 1 a second with a burst of 2`);
 });
 
-test('a claim whose host is gone becomes unknown; a quarantine is lifted', () => {
-	const leader = new Leader();
+test('a claim of a failed host becomes unknown, and its quarantine lock is released', () => {
+	const leader = new TestLeader();
 	for (const key of ['booking/x', 'quarantine/e1']) {
 		leader.apply({
 			type: 'claim', at: 0, key, fingerprint: 'f', attempt: 'boot-1/1', host: 'gone',
@@ -190,8 +190,8 @@
 	assert.equal(leader.state.ledger.find('quarantine/e1')?.state, 'not-run');
 });
 
-test('a claim whose host lives stays open', () => {
-	const leader = new Leader();
+test('a claim of a live host stays open', () => {
+	const leader = new TestLeader();
 	leader.apply({
 		type: 'claim', at: 0, key: 'k', fingerprint: 'f', attempt: 'boot/1', host: 'entry',
 	});
@@ -199,44 +199,44 @@
 	assert.equal(leader.state.ledger.find('k')?.state, 'claimed');
 });
 
-function renew(version: number): RenewRequest {
+function createRenewal(version: number): RenewRequest {
 	return {
 		type: 'renew', id: 1, host: 'entry', boot: 'boot', version, running: [], leaving: false,
 	};
 }
 
-function announce(server: string, running = 0, checksFence = true): Announcement {
+function createAnnouncement(server: string, running = 0, checksFence = true): Announcement {
 	sequence++;
 	return {
 		server, kind: 'engine', address: '127.0.0.1', port: 1, incarnation: 1, sequence, checksFence, load: {running, waiting: 0},
 	};
 }
 
-/** Lets enough time pass for a drain, with fresh announcements. */
-function drain(leader: Leader, renewal: Partial<RenewRequest> = {}, running = 0, checksFence = true): ControllerEffect[] {
+/** Advances the time by 2.5 s, enough for a drain, with a new announcement every 100 ms. */
+function advanceForDrain(leader: TestLeader, renewal: Partial<RenewRequest> = {}, running = 0, checksFence = true): ControllerEffect[] {
 	const effects: ControllerEffect[] = [];
 	for (let round = 0; round < 25; round++) {
-		effects.push(...leader.advance(100, [{...renewal, announcements: [announce('e1', running, checksFence)]}]));
+		effects.push(...leader.advance(100, [{...renewal, announcements: [createAnnouncement('e1', running, checksFence)]}]));
 	}
 
 	return effects;
 }
 
-function reportAbsent(leader: Leader): ControllerEffect[] {
+function reportOrderAbsent(leader: TestLeader): ControllerEffect[] {
 	const [order] = leader.state.listOpenOrders();
 	leader.controller.handleReport({type: 'absent', server: order!.server, order: order!.order}, leader.authority());
 	return leader.advance(1200);
 }
 
-function sendOrder(leader: Leader, name: string): number {
+function sendRoleOrder(leader: TestLeader, name: string): number {
 	leader.declare(name, {action: 'role', server: 'e1', role: 'decode'});
-	drain(leader);
-	const sent = reportAbsent(leader).find(effect => effect.type === 'send-order');
+	advanceForDrain(leader);
+	const sent = reportOrderAbsent(leader).find(effect => effect.type === 'send-order');
 	assert.ok(sent?.type === 'send-order');
 	return sent.order.order;
 }
 
-function settle(leader: Leader, order: number): void {
+function reportDone(leader: TestLeader, order: number): void {
 	for (const effect of leader.controller.handleReport({
 		type: 'done', server: 'e1', order, note: 'done',
 	}, leader.authority())) {
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -10,14 +10,14 @@
 const [a, b, c, d] = ['a', 'b', 'c', 'd'].map(name => createMember(name)) as [Member, Member, Member, Member];
 const THREE: Configuration = {voters: [a, b, c], outgoing: [], learners: []};
 
-/** Replicas joined by a perfect network; what a test wants lost it leaves out. */
+/** Replicas on a network that delivers every message immediately, except to and from disconnected replicas. */
 class Cluster {
 	readonly replicas = new Map<string, Replica>();
 	readonly committed = new Map<string, string[]>();
-	readonly cut = new Set<string>();
+	readonly disconnected = new Set<string>();
 	nowMs = 0;
 
-	constructor(configuration: Configuration, names: readonly string[], mechanisms: Safeguards = ALL_SAFEGUARDS) {
+	constructor(configuration: Configuration, names: readonly string[], safeguards: Safeguards = ALL_SAFEGUARDS) {
 		for (const [index, name] of names.entries()) {
 			this.committed.set(name, []);
 			this.replicas.set(name, new Replica({
@@ -27,13 +27,13 @@
 				entries: [],
 				nowMs: 0,
 				random: createRandom(index + 1),
-				safeguards: mechanisms,
+				safeguards,
 			}));
 		}
 	}
 
 	get leader(): Replica | undefined {
-		return [...this.replicas.values()].find(replica => replica.role === 'leader' && !this.cut.has(replica.id));
+		return [...this.replicas.values()].find(replica => replica.role === 'leader' && !this.disconnected.has(replica.id));
 	}
 
 	step(name: string, event: ReplicaEvent): ReplicaEffect[] {
@@ -65,19 +65,19 @@
 			this.committed.get(name)!.push(...texts);
 		}
 
-		if (effect.type === 'send' && !this.cut.has(name) && !this.cut.has(effect.to.replica) && this.replicas.has(effect.to.replica)) {
+		if (effect.type === 'send' && !this.disconnected.has(name) && !this.disconnected.has(effect.to.replica) && this.replicas.has(effect.to.replica)) {
 			this.step(effect.to.replica, {type: 'message', from: name, body: effect.body});
 		}
 	}
 }
 
-test('one replica, three, five and seven elect one leader and commit', () => {
+test('clusters of one, three, five and seven replicas elect a leader and commit', () => {
 	for (const count of [1, 3, 5, 7]) {
 		const members = Array.from({length: count}, (_, index) => createMember(`r${index}`));
 		const cluster = new Cluster({voters: members, outgoing: [], learners: []}, members.map(member => member.replica));
 		cluster.advance(3000);
 		const leader = cluster.leader!;
-		cluster.step(leader.id, propose('x'));
+		cluster.step(leader.id, createProposal('x'));
 		cluster.advance(300);
 		for (const texts of cluster.committed.values()) {
 			assert.deepEqual(texts, ['x'], `${count} replicas`);
@@ -85,42 +85,42 @@
 	}
 });
 
-test('a leader that hears no majority steps down, and another follows', () => {
+test('a leader without contact to a majority steps down, and another one is elected', () => {
 	const cluster = new Cluster(THREE, ['a', 'b', 'c']);
 	cluster.advance(3000);
-	const old = cluster.leader!;
-	cluster.cut.add(old.id);
+	const previous = cluster.leader!;
+	cluster.disconnected.add(previous.id);
 	cluster.advance(700);
-	assert.notEqual(old.role, 'leader');
+	assert.notEqual(previous.role, 'leader');
 	cluster.advance(2500);
 	assert.ok(cluster.leader);
-	assert.notEqual(cluster.leader.id, old.id);
+	assert.notEqual(cluster.leader.id, previous.id);
 });
 
-test('a leader has no authority once its lease is over, even before it notices', () => {
+test('a leader\'s lease expires within an election timeout, even if the leader runs no timer', () => {
 	const cluster = new Cluster(THREE, ['a', 'b', 'c']);
 	cluster.advance(3000);
 	const leader = cluster.leader!;
 	assert.ok(leader.getLeaseExpiryMs(cluster.nowMs) > cluster.nowMs);
-	// A paused process runs no timer: only the time is later.
+	// A paused process runs no timer, so only the current time tells that the lease has expired.
 	assert.ok(leader.getLeaseExpiryMs(cluster.nowMs) < cluster.nowMs + leader.timing.electionMs);
 });
 
-test('a cut-off replica that comes back does not depose the leader (pre-vote)', () => {
+test('a reconnected replica does not depose the leader (pre-vote)', () => {
 	const cluster = new Cluster(THREE, ['a', 'b', 'c']);
 	cluster.advance(3000);
 	const leader = cluster.leader!;
 	const {term} = leader;
-	const other = ['a', 'b', 'c'].find(name => name !== leader.id)!;
-	cluster.cut.add(other);
+	const follower = ['a', 'b', 'c'].find(name => name !== leader.id)!;
+	cluster.disconnected.add(follower);
 	cluster.advance(5000);
-	cluster.cut.delete(other);
+	cluster.disconnected.delete(follower);
 	cluster.advance(2000);
 	assert.equal(cluster.leader?.id, leader.id);
 	assert.equal(leader.term, term);
 });
 
-test('a reply waits for the disk, and does not without the mechanism', () => {
+test('a reply waits for the sync to disk; without the safeguard it does not', () => {
 	const request: ConsensusBody = {
 		type: 'append-request', term: 1, round: 1, previousIndex: 0, previousTerm: 0, commitIndex: 0, entries: [{type: 'noop', index: 1, term: 1}],
 	};
@@ -133,32 +133,32 @@
 	}
 });
 
-test('a restarted replica keeps its vote', () => {
+test('a restarted replica remembers its vote', () => {
 	const replica = createReplica('a');
-	const effects = replica.step({type: 'message', from: 'b', body: voteRequest(1)}, 5000);
+	const effects = replica.step({type: 'message', from: 'b', body: createVoteRequest(1)}, 5000);
 	const writes = effects.flatMap(effect => effect.type === 'write' ? effect.records : []);
 	const hard = writes.findLast(record => record.type === 'hard')!;
 	assert.deepEqual(hard.state, {term: 1, vote: 'b'});
-	const again = createReplica('a', ALL_SAFEGUARDS, hard.state);
-	assert.deepEqual(grantsOf(again, 'c', 5000), [false]);
-	assert.deepEqual(grantsOf(again, 'b', 5000), [true]);
+	const restarted = createReplica('a', ALL_SAFEGUARDS, hard.state);
+	assert.deepEqual(requestVote(restarted, 'c', 5000), [false]);
+	assert.deepEqual(requestVote(restarted, 'b', 5000), [true]);
 });
 
-test('a restarted replica grants no vote for one election timeout: it may have promised a lease', () => {
+test('a restarted replica grants no vote for one election timeout, because it may have extended a lease', () => {
 	for (const respectLease of [true, false]) {
 		const replica = createReplica('a', {...ALL_SAFEGUARDS, respectLease});
-		assert.deepEqual(grantsOf(replica, 'b', 100), [!respectLease]);
+		assert.deepEqual(requestVote(replica, 'b', 100), [!respectLease]);
 	}
 });
 
-test('a replica that is in no configuration starts no election and is granted no vote', () => {
+test('a replica outside the configuration starts no election and gets no vote', () => {
 	const stranger = createReplica('stranger');
 	assert.deepEqual(stranger.step({type: 'tick'}, 60_000), []);
-	assert.deepEqual(grantsOf(createReplica('a'), 'stranger', 5000), []);
-	assert.deepEqual(grantsOf(createReplica('a'), 'b', 5000), [true]);
+	assert.deepEqual(requestVote(createReplica('a'), 'stranger', 5000), []);
+	assert.deepEqual(requestVote(createReplica('a'), 'b', 5000), [true]);
 });
 
-test('entries of an older term are not committed by counting, and are without the mechanism', () => {
+test('entries of an older term are not committed by counting replicas; without the safeguard they are', () => {
 	for (const commitOwnTermOnly of [true, false]) {
 		const replica = new Replica({
 			replica: 'a',
@@ -193,73 +193,73 @@
 	}
 });
 
-test('a read waits for a majority that confirms the leader after it came in, and does not without the mechanism', () => {
+test('a read waits until a majority has confirmed the leader; without the safeguard it does not', () => {
 	for (const confirmReads of [true, false]) {
 		const cluster = new Cluster(THREE, ['a', 'b', 'c'], {...ALL_SAFEGUARDS, confirmReads});
 		cluster.advance(3000);
 		const leader = cluster.leader!;
-		cluster.cut.add(leader.id);
+		cluster.disconnected.add(leader.id);
 		const isAnswered = cluster.step(leader.id, {type: 'read', id: 1}).some(effect => effect.type === 'read');
 		assert.equal(isAnswered, !confirmReads);
 	}
 });
 
-test('leadership is handed over within a round trip', () => {
+test('leadership is transferred within a round trip', () => {
 	const cluster = new Cluster(THREE, ['a', 'b', 'c']);
 	cluster.advance(3000);
-	const old = cluster.leader!;
-	cluster.step(old.id, {type: 'transfer-leadership'});
+	const previous = cluster.leader!;
+	cluster.step(previous.id, {type: 'transfer-leadership'});
 	assert.ok(cluster.leader);
-	assert.notEqual(cluster.leader.id, old.id);
-	assert.equal(old.getLeaseExpiryMs(cluster.nowMs), Number.NEGATIVE_INFINITY);
+	assert.notEqual(cluster.leader.id, previous.id);
+	assert.equal(previous.getLeaseExpiryMs(cluster.nowMs), Number.NEGATIVE_INFINITY);
 });
 
-test('a hand-over that came to nothing ends in an election', () => {
-	// Found by the fuzzer, seed 16: a leader whose hand-over was lost led on for ever without a lease.
+test('a failed leadership transfer ends in an election', () => {
+	// Fuzzer seed 16: a leader whose transfer message was lost stayed leader forever without a lease.
 	const cluster = new Cluster(THREE, ['a', 'b', 'c']);
 	cluster.advance(3000);
-	const old = cluster.leader!;
-	const target = old.step({type: 'transfer-leadership'}, cluster.nowMs).find(effect => effect.type === 'send');
+	const previous = cluster.leader!;
+	const target = previous.step({type: 'transfer-leadership'}, cluster.nowMs).find(effect => effect.type === 'send');
 	assert.equal(target?.body.type, 'timeout-now');
 	cluster.advance(5000);
 	const leader = cluster.leader!;
 	assert.ok(leader.getLeaseExpiryMs(cluster.nowMs) > cluster.nowMs);
 });
 
-test('a lagging replica is brought up by a snapshot', () => {
+test('a lagging replica catches up by a snapshot', () => {
 	const cluster = new Cluster(THREE, ['a', 'b', 'c']);
 	cluster.advance(3000);
 	const leader = cluster.leader!;
-	const other = ['a', 'b', 'c'].find(name => name !== leader.id)!;
-	cluster.cut.add(other);
+	const follower = ['a', 'b', 'c'].find(name => name !== leader.id)!;
+	cluster.disconnected.add(follower);
 	for (let index = 0; index < 20; index++) {
-		cluster.step(leader.id, propose(`x${index}`));
+		cluster.step(leader.id, createProposal(`x${index}`));
 	}
 
 	cluster.step(leader.id, {type: 'compact', index: leader.commitIndex, data: new Uint8Array([7])});
 	assert.equal(leader.logLength, 0);
-	cluster.cut.delete(other);
+	cluster.disconnected.delete(follower);
 	cluster.advance(4000);
-	assert.equal(cluster.replicas.get(other)!.snapshotIndex, leader.snapshotIndex);
-	assert.equal(cluster.replicas.get(other)!.commitIndex, leader.commitIndex);
+	assert.equal(cluster.replicas.get(follower)!.snapshotIndex, leader.snapshotIndex);
+	assert.equal(cluster.replicas.get(follower)!.commitIndex, leader.commitIndex);
 });
 
-test('a swap in one step has quorums that do not meet; a joint configuration has none such', () => {
-	const old: Configuration = THREE;
+test('replacing a voter in one step allows disjoint quorums; a joint configuration does not', () => {
+	const previous: Configuration = THREE;
 	const swapped: Configuration = {voters: [a, c, d], outgoing: [], learners: []};
 	const joint: Configuration = {...swapped, outgoing: THREE.voters};
-	const left = new Set(['a', 'b']);
-	const right = new Set(['c', 'd']);
-	assert.ok(hasQuorum(old, name => left.has(name)) && hasQuorum(swapped, name => right.has(name)));
-	assert.ok(!hasQuorum(joint, name => right.has(name)));
+	const oldMajority = new Set(['a', 'b']);
+	const newMajority = new Set(['c', 'd']);
+	assert.ok(hasQuorum(previous, name => oldMajority.has(name)) && hasQuorum(swapped, name => newMajority.has(name)));
+	assert.ok(!hasQuorum(joint, name => newMajority.has(name)));
 	assert.equal(findQuorumValue(joint, name => ({
 		a: 9, b: 9, c: 1, d: 1,
 	})[name] ?? 0), 1);
 });
 
-test('a new voter takes over through learner and joint configuration', () => {
+test('a voter is replaced through a learner and a joint configuration', () => {
 	const cluster = new Cluster(THREE, ['a', 'b', 'c', 'd']);
-	// The fourth replica starts blank.
+	// The fourth replica starts without a configuration.
 	cluster.replicas.set('d', new Replica({
 		replica: 'd', hard: EMPTY_PERSISTENT_STATE.hard, snapshot: EMPTY_SNAPSHOT, entries: [], nowMs: 0, random: createRandom(4),
 	}));
@@ -281,25 +281,25 @@
 	};
 }
 
-function createReplica(replica: string, mechanisms: Safeguards = ALL_SAFEGUARDS, hard = EMPTY_PERSISTENT_STATE.hard): Replica {
+function createReplica(replica: string, safeguards: Safeguards = ALL_SAFEGUARDS, hard = EMPTY_PERSISTENT_STATE.hard): Replica {
 	return new Replica({
-		replica, hard, snapshot: {...EMPTY_SNAPSHOT, configuration: THREE}, entries: [], nowMs: 0, random: createRandom(1), safeguards: mechanisms,
+		replica, hard, snapshot: {...EMPTY_SNAPSHOT, configuration: THREE}, entries: [], nowMs: 0, random: createRandom(1), safeguards,
 	});
 }
 
-function propose(text: string): ReplicaEvent {
+function createProposal(text: string): ReplicaEvent {
 	return {type: 'propose', data: [new TextEncoder().encode(text)]};
 }
 
-function voteRequest(term: number): ConsensusBody {
+function createVoteRequest(term: number): ConsensusBody {
 	return {
 		type: 'vote-request', term, preVote: false, transfer: false, lastIndex: 0, lastTerm: 0,
 	};
 }
 
-function grantsOf(replica: Replica, from: string, nowMs: number): boolean[] {
+function requestVote(replica: Replica, from: string, nowMs: number): boolean[] {
 	const effects = [
-		...replica.step({type: 'message', from, body: voteRequest(1)}, nowMs),
+		...replica.step({type: 'message', from, body: createVoteRequest(1)}, nowMs),
 		...replica.step({type: 'synced', sequence: 99}, nowMs),
 	];
 	return effects.flatMap(effect => effect.type === 'send' && effect.body.type === 'vote-reply' ? [effect.body.granted] : []);
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -6,25 +6,25 @@
 import {decodeValue, encodeValue} from '../src/wire/frame.js';
 import {assertSnapshot} from './snapshot.js';
 
-test('of two operators with the same version exactly one wins, and the other learns the winner\'s version', () => {
+test('of two concurrent puts with the same version one succeeds, and the other gets a conflict with the new version', () => {
 	const state = new ControlState();
-	state.apply(put('p1', 0), 1);
-	assert.deepEqual(state.apply(put('p2', 1), 2), {type: 'accepted', version: 2});
-	const loser = state.apply(put('p3', 1), 3);
+	state.apply(createPut('p1', 0), 1);
+	assert.deepEqual(state.apply(createPut('p2', 1), 2), {type: 'accepted', version: 2});
+	const loser = state.apply(createPut('p3', 1), 3);
 	assert.equal(loser.type, 'conflict');
 	assert.equal(loser.type === 'conflict' && loser.version, 2);
 });
 
-test('a resend after a lost answer gets the first answer, for the winner and for the loser', () => {
+test('a resent request gets its first outcome, both for an accepted put and for a conflict', () => {
 	const state = new ControlState();
-	const won = state.apply(put('p1', 0), 1);
-	const lost = state.apply(put('p2', 0), 2);
-	assert.deepEqual(state.apply(put('p1', 0), 3), won);
-	assert.deepEqual(state.apply(put('p2', 0), 4), lost);
+	const won = state.apply(createPut('p1', 0), 1);
+	const lost = state.apply(createPut('p2', 0), 2);
+	assert.deepEqual(state.apply(createPut('p1', 0), 3), won);
+	assert.deepEqual(state.apply(createPut('p2', 0), 4), lost);
 	assert.equal(state.findResource('team', 'x')?.version, 1);
 });
 
-test('a watch resumed from any version ends in the same configuration', () => {
+test('a watch resumed from any version ends with the same resources', () => {
 	const state = new ControlState();
 	const views = Array.from({length: 40}, () => new View());
 	for (let index = 1; index <= 40; index++) {
@@ -32,22 +32,22 @@
 			? {
 				type: 'remove', at: 0, requestId: `r${index}`, kind: 'team', name: `t${index % 7}`, seen: -1,
 			}
-			: {...put(`p${index}`, -1), name: `t${index % 7}`};
+			: {...createPut(`p${index}`, -1), name: `t${index % 7}`};
 		state.apply(command, index);
 		views[index - 1]!.apply(state.createViewUpdate(-1));
 	}
 
 	for (const view of views) {
 		view.apply(state.createViewUpdate(view.version));
-		assert.deepEqual(names(view), names(views[39]!));
+		assert.deepEqual(listNames(view), listNames(views[39]!));
 	}
 });
 
-test('a view takes no older update and none that builds on a later version', () => {
+test('a view rejects an older update and an update based on a later version', () => {
 	const state = new ControlState();
-	state.apply(put('p1', 0), 1);
+	state.apply(createPut('p1', 0), 1);
 	const old = state.createViewUpdate(-1);
-	state.apply(put('p2', 1), 2);
+	state.apply(createPut('p2', 1), 2);
 	const view = new View();
 	assert.ok(view.apply(state.createViewUpdate(-1)));
 	assert.ok(!view.apply(old));
@@ -55,9 +55,9 @@
 	assert.equal(view.version, 2);
 });
 
-test('the state survives being saved, with what was answered', () => {
+test('the state and the remembered outcomes can be restored from a snapshot', () => {
 	const state = new ControlState();
-	const answer = state.apply(put('p1', 0), 1);
+	const answer = state.apply(createPut('p1', 0), 1);
 	state.apply({
 		type: 'claim', at: 0, key: 'k', fingerprint: 'f', attempt: 'a/1', host: 'a',
 	}, 2);
@@ -66,10 +66,10 @@
 	}, 3);
 	const copy = new ControlState(decodeValue(encodeValue(state.createSnapshot())) as ReturnType<ControlState['createSnapshot']>);
 	assert.deepEqual(copy.createSnapshot(), state.createSnapshot());
-	assert.deepEqual(copy.apply(put('p1', 0), 4), answer);
+	assert.deepEqual(copy.apply(createPut('p1', 0), 4), answer);
 });
 
-test('a second change of a server waits for the first', () => {
+test('a second change of a server is refused until the first is finished', () => {
 	const state = new ControlState();
 	const declare = (name: string, server: string, index: number) => state.apply({
 		type: 'put', at: 0, requestId: name, name, seen: 0, specification: {
@@ -81,7 +81,7 @@
 	assert.equal(declare('three', 'e2', 3).type, 'accepted');
 });
 
-test('the story of a role change is told in order', async () => {
+test('the history of a role change lists its phases in order', async () => {
 	const state = new ControlState();
 	const commands: Command[] = [
 		{
@@ -106,12 +106,12 @@
 	await assertSnapshot('story-of-a-role-change', state.findResource('change', 'night'));
 });
 
-function put(requestId: string, seen: number): PutCommand {
+function createPut(requestId: string, seen: number): PutCommand {
 	return {
 		type: 'put', at: 0, requestId, name: 'x', seen, specification: {kind: 'team', weight: Number(requestId.slice(1))},
 	};
 }
 
-function names(view: View): string[] {
+function listNames(view: View): string[] {
 	return view.list().map(({name, version, specification}) => `${createResourceKey(specification.kind, name)}@${version}`).toSorted();
 }
--- a/test/storage.test.ts
+++ b/test/storage.test.ts
@@ -11,12 +11,12 @@
 import {EMPTY_SNAPSHOT, loadOrCreateIdentity, Storage} from '../src/consensus/storage.js';
 import type {CommandEntry} from '../src/generated/types.js';
 
-test('what was synced is there after opening again', async () => {
+test('synced records are recovered after reopening', async () => {
 	await withFolder(async folder => {
 		await writeAll(folder, [
 			[{type: 'hard', state: {term: 3, vote: 'b'}}],
-			[{type: 'entries', entries: [entry(1), entry(2), entry(3)]}],
-			[{type: 'truncate', from: 3}, {type: 'entries', entries: [entry(3, 4)]}],
+			[{type: 'entries', entries: [createEntry(1), createEntry(2), createEntry(3)]}],
+			[{type: 'truncate', from: 3}, {type: 'entries', entries: [createEntry(3, 4)]}],
 		]);
 		const {hard, entries} = await openImage(folder);
 		assert.deepEqual(hard, {term: 3, vote: 'b'});
@@ -24,16 +24,16 @@
 	});
 });
 
-test('a snapshot truncates the log, and only its generation stays', async () => {
+test('a snapshot compacts the log, and only its generation remains', async () => {
 	await withFolder(async folder => {
 		await writeAll(folder, [
-			[{type: 'entries', entries: [entry(1), entry(2), entry(3)]}],
+			[{type: 'entries', entries: [createEntry(1), createEntry(2), createEntry(3)]}],
 			[{
 				type: 'snapshot', snapshot: {
 					...EMPTY_SNAPSHOT, index: 2, term: 1, data: new Uint8Array([7]),
 				},
 			}],
-			[{type: 'entries', entries: [entry(4)]}],
+			[{type: 'entries', entries: [createEntry(4)]}],
 		]);
 		const {snapshot, entries} = await openImage(folder);
 		assert.equal(snapshot.index, 2);
@@ -43,30 +43,30 @@
 	});
 });
 
-test('a torn tail is cut at every length, and writing goes on behind it', async () => {
+test('a torn write of any length is truncated, and later writes are appended after it', async () => {
 	await withFolder(async folder => {
-		await writeAll(folder, [[{type: 'entries', entries: [entry(1)]}], [{type: 'entries', entries: [entry(2)]}]]);
+		await writeAll(folder, [[{type: 'entries', entries: [createEntry(1)]}], [{type: 'entries', entries: [createEntry(2)]}]]);
 		const file = path.join(folder, 'log-1');
-		const whole = await readFile(file);
+		const intact = await readFile(file);
 		const tail = 40;
-		for (let cut = 1; cut <= tail; cut++) {
-			await writeFile(file, whole.subarray(0, whole.length - cut));
+		for (let removedBytes = 1; removedBytes <= tail; removedBytes++) {
+			await writeFile(file, intact.subarray(0, intact.length - removedBytes));
 			const {entries} = await openImage(folder);
-			assert.deepEqual(entries.map(({index}) => index), [1], `cut by ${cut}`);
+			assert.deepEqual(entries.map(({index}) => index), [1], `${removedBytes} bytes removed`);
 		}
 
-		await writeAll(folder, [[{type: 'entries', entries: [entry(2, 9)]}]]);
+		await writeAll(folder, [[{type: 'entries', entries: [createEntry(2, 9)]}]]);
 		assert.equal((await openImage(folder)).entries[1]?.term, 9);
 	});
 });
 
-test('damage before the end is refused with its number', async () => {
+test('corruption before the end of the log fails with code 1101', async () => {
 	await withFolder(async folder => {
-		await writeAll(folder, [[{type: 'entries', entries: [entry(1)]}], [{type: 'entries', entries: [entry(2)]}]]);
+		await writeAll(folder, [[{type: 'entries', entries: [createEntry(1)]}], [{type: 'entries', entries: [createEntry(2)]}]]);
 		const file = path.join(folder, 'log-1');
 		const bytes = await readFile(file);
-		const at = Math.floor(bytes.length / 2) - 8;
-		bytes[at] = 255 - bytes[at]!;
+		const position = Math.floor(bytes.length / 2) - 8;
+		bytes[position] = 255 - bytes[position]!;
 		await writeFile(file, bytes);
 		const opened = await Storage.open(folder, {onSynced: () => undefined, onWriteFailure: () => undefined});
 		assert.ok(Either.isLeft(opened));
@@ -74,7 +74,7 @@
 	});
 });
 
-test('a write that fails is tried again, counts as synced only then, and leaves no damage behind', async t => {
+test('a failed write is retried, reported as synced only when it succeeds, and leaves no partial frame', async t => {
 	await withFolder(async folder => {
 		const probe = await open(path.join(folder, 'probe'), 'w');
 		const prototype = Object.getPrototypeOf(probe) as typeof probe;
@@ -100,7 +100,7 @@
 		const synced = new EventEmitter();
 		assert.ok(Either.isRight(opened));
 		const done = once(synced, 'synced');
-		opened.right.write(1, [{type: 'entries', entries: [entry(1), entry(2)]}]);
+		opened.right.write(1, [{type: 'entries', entries: [createEntry(1), createEntry(2)]}]);
 		await done;
 		assert.deepEqual(failed, [1102, 1102]);
 		await opened.right.close();
@@ -109,7 +109,7 @@
 	});
 });
 
-test('the identity is made in the folder and stays with it', async () => {
+test('the identity is created in the data folder and lost with it', async () => {
 	await withFolder(async folder => {
 		const first = await loadOrCreateIdentity(folder);
 		assert.deepEqual(await loadOrCreateIdentity(folder), first);
@@ -131,7 +131,7 @@
 	return opened.right.persistentState;
 }
 
-/** Writes batches one after the other, each synced before the next. */
+/** Writes batches one after the other, waiting for the sync of each. */
 async function writeAll(folder: string, batches: readonly LogRecord[][]): Promise<void> {
 	let resolve: () => void = () => undefined;
 	const opened = await Storage.open(folder, {
@@ -151,7 +151,7 @@
 	await opened.right.close();
 }
 
-function entry(index: number, term = 1): CommandEntry {
+function createEntry(index: number, term = 1): CommandEntry {
 	return {
 		type: 'command', index, term, data: new Uint8Array([index]),
 	};
