--- a/src/control/bootstrap.ts
+++ b/src/control/bootstrap.ts
@@ -33,7 +33,7 @@
 	peers: readonly Peer[],
 	replies: readonly BootstrapReply[],
 ): Configuration | undefined {
-	if (peers[0]?.host !== self.host || replies.some(answer => answer.welcome.configuration)) {
+	if (peers[0]?.host !== self.host || replies.some(reply => reply.welcome.configuration)) {
 		return undefined;
 	}
 
@@ -41,7 +41,7 @@
 	for (const peer of peers) {
 		const replica = peer.host === self.host
 			? self.replica
-			: replies.find(answer => answer.peer.host === peer.host)?.welcome.replica;
+			: replies.find(reply => reply.peer.host === peer.host)?.welcome.replica;
 		if (replica === undefined) {
 			return undefined;
 		}
@@ -67,7 +67,7 @@
 	peers: readonly Peer[],
 	replies: readonly BootstrapReply[],
 ): Configuration | undefined {
-	const configuration = replies.find(answer => answer.peer.host === peers[0]?.host)?.welcome.configuration;
+	const configuration = replies.find(reply => reply.peer.host === peers[0]?.host)?.welcome.configuration;
 	const isVoter = configuration?.voters.some(member => member.replica === replica) ?? false;
 	return isVoter && configuration?.outgoing.length === 0 ? configuration : undefined;
 }
--- a/src/control/service.ts
+++ b/src/control/service.ts
@@ -309,7 +309,7 @@
 			const welcome = await requestWelcome(peer);
 			return welcome && {peer, welcome};
 		}));
-		return replies.filter(answer => answer !== undefined);
+		return replies.filter(reply => reply !== undefined);
 	}
 
 	#startNode(initialConfiguration?: Configuration): void {
