--- a/src/consensus/node.ts
+++ b/src/consensus/node.ts
@@ -152,7 +152,7 @@
 	 *
 	 * @example
 	 * ```ts
-	 * const result = await node.propose(encodeValue(command));
+	 * const result = await node.propose(encodeCbor(command));
 	 * ```
 	 */
 	async propose(data: Uint8Array): Promise<Either.Either<Problem, CommitResult>> {
--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -16,10 +16,10 @@
 import path from 'node:path';
 import {crc32} from 'node:zlib';
 import * as Either from 'fp-ts/lib/Either.js';
-import {pause} from '../base/clock.js';
+import {sleep} from '../base/clock.js';
 import {createProblem, type Problem} from '../base/problem.js';
 import type {Configuration, Entry, Snapshot} from '../generated/types.js';
-import {decodeValue, encodeValue} from '../wire/frame.js';
+import {decodeCbor, encodeCbor} from '../wire/frame.js';
 import type {HardState, LogRecord} from './replica.js';
 
 /** State that a replica recovers from its files after a restart. */
@@ -148,9 +148,9 @@
 			return Either.left(createProblem('storageCorrupt', `snapshot-${generation}`));
 		}
 
-		let state: PersistentState = {...EMPTY_PERSISTENT_STATE, snapshot: decodeValue(payload) as Snapshot};
+		let state: PersistentState = {...EMPTY_PERSISTENT_STATE, snapshot: decodeCbor(payload) as Snapshot};
 		for (const frame of log.right.payloads) {
-			state = applyRecords(state, decodeValue(frame) as LogRecord[]);
+			state = applyRecords(state, decodeCbor(frame) as LogRecord[]);
 		}
 
 		const file = await open(logFile, 'a');
@@ -206,7 +206,7 @@
 					return false;
 				}
 
-				await pause(WRITE_RETRY_MS);
+				await sleep(WRITE_RETRY_MS);
 			}
 		}
 	}
@@ -230,7 +230,7 @@
 			return;
 		}
 
-		const frame = createFrame(encodeValue(records));
+		const frame = createFrame(encodeCbor(records));
 		if (this.#hasPartialFrame) {
 			await this.#file.truncate(this.#validLength);
 		}
@@ -368,8 +368,8 @@
 		{type: 'hard', state: state.hard},
 		{type: 'entries', entries: state.entries},
 	];
-	await writeFileAtomically(folder, `snapshot-${generation}`, createFrame(encodeValue(state.snapshot)));
-	const log = createFrame(encodeValue(records));
+	await writeFileAtomically(folder, `snapshot-${generation}`, createFrame(encodeCbor(state.snapshot)));
+	const log = createFrame(encodeCbor(records));
 	await writeFileAtomically(folder, `log-${generation}`, log);
 	return log.length;
 }
--- a/src/control/service.ts
+++ b/src/control/service.ts
@@ -20,7 +20,7 @@
 import type {
 	Announcement, Command, CommandEntry, Configuration, Member, MembersRequest, MembersReply, Message, CommandOutcome, Peer, ProposeRequest, ReadRequest, RenewRequest, Welcome,
 } from '../generated/types.js';
-import {decodeValue, encodeValue} from '../wire/frame.js';
+import {decodeCbor, encodeCbor} from '../wire/frame.js';
 import {
 	connect, ConnectionPool, type Address, type Connection,
 } from '../wire/connection.js';
@@ -164,7 +164,7 @@
 
 	/** Proposes a command on this replica; fails with `notLeader` unless it leads. */
 	async propose(command: Command): Promise<Either.Either<Problem, CommitResult>> {
-		return this.#node ? this.#node.propose(encodeValue(command)) : Either.left(createProblem('notLeader'));
+		return this.#node ? this.#node.propose(encodeCbor(command)) : Either.left(createProblem('notLeader'));
 	}
 
 	/** Logs the first of a series of failed disk writes. The replica keeps running as if its writes were slow. */
@@ -323,9 +323,9 @@
 			skip: index => {
 				this.#state.skip(index);
 			},
-			createSnapshot: () => encodeValue(this.#state.createSnapshot()),
+			createSnapshot: () => encodeCbor(this.#state.createSnapshot()),
 			restore: data => {
-				this.#state = new ControlState(decodeValue(data) as ControlStateSnapshot);
+				this.#state = new ControlState(decodeCbor(data) as ControlStateSnapshot);
 			},
 		};
 		const initialSnapshot = initialConfiguration ? {...EMPTY_SNAPSHOT, configuration: initialConfiguration} : snapshot;
@@ -352,7 +352,7 @@
 	}
 
 	#apply(entry: CommandEntry): CommandOutcome {
-		return this.#state.apply(decodeValue(entry.data) as Command, entry.index);
+		return this.#state.apply(decodeCbor(entry.data) as Command, entry.index);
 	}
 
 	#onLeadership({role, term}: Leadership): void {
@@ -435,7 +435,7 @@
 	async #runEffect(effect: ControllerEffect): Promise<void> {
 		if (effect.type === 'propose') {
 			this.#logProposal(effect.command);
-			await this.#node?.propose(encodeValue(effect.command));
+			await this.#node?.propose(encodeCbor(effect.command));
 			return;
 		}
 
@@ -483,7 +483,7 @@
 		}
 
 		const command = {...message.command, at: this.#options.clock.wallMs()};
-		const result = await node.propose(encodeValue(command));
+		const result = await node.propose(encodeCbor(command));
 		if (Either.isLeft(result)) {
 			this.#refuse(message.id, result.left, connection);
 			return;
--- a/src/daemon/controlhost.ts
+++ b/src/daemon/controlhost.ts
@@ -20,32 +20,32 @@
 	Announcement, Message, Publication, PutCommand, ViewUpdate,
 } from '../generated/types.js';
 import {FeedPublisher, FeedSubscription} from '../membership/feed.js';
-import {DEFAULT_REGISTRY_TIMING, Registry, type Merge} from '../membership/registry.js';
-import {RuleTable, type Catalogue} from '../routing/catalogue.js';
-import {Placer} from '../routing/placer.js';
-import {RolePlanner} from '../routing/stages.js';
-import {listEngineFacts} from '../serving/engines.js';
-import type {Dialect} from '../serving/dialect.js';
+import {DEFAULT_REGISTRY_TIMING, ServerRegistry, type MergeResult} from '../membership/registry.js';
+import {RouteTable, type RoutingConfig} from '../routing/routes.js';
+import {Scheduler} from '../routing/scheduler.js';
+import {RolePlanner} from '../routing/planner.js';
+import {listEngines} from '../serving/engines.js';
+import type {ProtocolAdapter} from '../serving/protocol.js';
 import {Listener, type Address, type Connection} from '../wire/connection.js';
 
 export type ControlHostOptions = {
 	readonly host: string;
 	readonly dataCentre: string;
 	/** Where the system's own processes reach this host. */
-	readonly peer: Address;
-	readonly folder: string;
+	readonly peerAddress: Address;
+	readonly dataFolder: string;
 	readonly seeds: readonly Address[];
 	readonly firstStart: boolean;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly loggers: LoggerFactory;
 	readonly metrics: ControlMetrics;
-	readonly dialect: Pick<Dialect, 'readCatalogue'>;
-	readonly createOrders: (findServer: (server: string) => Announcement | undefined) => OrderTransport;
+	readonly protocol: Pick<ProtocolAdapter, 'parseRoutingConfig'>;
+	readonly createOrderTransport: (findServer: (server: string) => Announcement | undefined) => OrderTransport;
 	/** Time between the orders of two control hosts, milliseconds. */
 	readonly leaseMs: number;
 	/** Interval of announcements, milliseconds. */
-	readonly announceMs: number;
+	readonly announceIntervalMs: number;
 };
 
 /** Operators turn to another host after a second without an answer. */
@@ -65,7 +65,7 @@
 
 /** A running control host. Whoever started it stops it. */
 export class ControlHost {
-	readonly registry: Registry;
+	readonly registry: ServerRegistry;
 	readonly #options: ControlHostOptions;
 	readonly #logger: Logger;
 	readonly #service: ControlService;
@@ -73,14 +73,14 @@
 	readonly #publisher: FeedPublisher;
 	readonly #subscription: FeedSubscription;
 	readonly #listener: Listener;
-	readonly #placer = new Placer();
+	readonly #placer = new Scheduler();
 	readonly #roles = new RolePlanner();
 	readonly #timer: NodeJS.Timeout;
 	readonly #startedMs: number;
-	#table: RuleTable | undefined;
+	#table: RouteTable | undefined;
 	#roleChangedMs = Number.NEGATIVE_INFINITY;
 
-	private constructor(options: ControlHostOptions, service: ControlService, registry: Registry, listener: Listener) {
+	private constructor(options: ControlHostOptions, service: ControlService, registry: ServerRegistry, listener: Listener) {
 		this.#options = options;
 		this.#logger = options.loggers('control');
 		this.#service = service;
@@ -88,7 +88,7 @@
 		this.#listener = listener;
 		this.#startedMs = options.clock.monotonicMs();
 		const {clock, host, dataCentre, seeds} = options;
-		this.#client = new ControlClient({seeds: [options.peer, ...seeds.filter(seed => !isSame(seed, options.peer))], clock, onViewPushed: () => undefined});
+		this.#client = new ControlClient({seeds: [options.peerAddress, ...seeds.filter(seed => !isSame(seed, options.peerAddress))], clock, onViewPushed: () => undefined});
 		this.#publisher = new FeedPublisher({
 			host,
 			registry,
@@ -102,13 +102,13 @@
 			host,
 			dataCentre,
 			role: 'control',
-			seeds: seeds.filter(seed => !isSame(seed, options.peer)),
+			seeds: seeds.filter(seed => !isSame(seed, options.peerAddress)),
 			clock,
 			logger: options.loggers('membership'),
 			readVersion: () => Number.MAX_SAFE_INTEGER,
 			onFeed: feed => {
 				for (const sighting of feed.sightings) {
-					this.#noteMerge(this.registry.mergeSighting(sighting, clock.monotonicMs()), sighting.announcement);
+					this.#noteMerge(this.registry.mergeStatus(sighting, clock.monotonicMs()), sighting.announcement);
 				}
 			},
 		});
@@ -120,15 +120,15 @@
 
 	/** Opens the data folder and starts. */
 	static async start(options: ControlHostOptions): Promise<Either.Either<Problem, ControlHost>> {
-		const registry = new Registry({...DEFAULT_REGISTRY_TIMING, silentAfterMs: options.announceMs * SILENT_INTERVALS});
+		const registry = new ServerRegistry({...DEFAULT_REGISTRY_TIMING, silentAfterMs: options.announceIntervalMs * SILENT_INTERVALS});
 		const holder: {host?: ControlHost} = {};
 		const listener = new Listener((message, connection) => {
 			holder.host?.receive(message, connection);
 		});
-		const {peer} = options;
+		const {peerAddress: peer} = options;
 		const service = await ControlService.start({
 			host: peer.address,
-			folder: options.folder,
+			folder: options.dataFolder,
 			peers: options.seeds.map(seed => ({host: seed.address, ...seed})),
 			self: {host: peer.address, ...peer},
 			listPeers: () => holder.host?.listControlAddresses() ?? options.seeds,
@@ -136,13 +136,13 @@
 			clock: options.clock,
 			random: options.random,
 			loggers: options.loggers,
-			orderTransport: options.createOrders(server => registry.lookup(server)?.announcement),
+			orderTransport: options.createOrderTransport(server => registry.findStatus(server)?.announcement),
 			controllerTiming: {...DEFAULT_CONTROLLER_TIMING, minTakeoverMs: options.leaseMs + SUCCESSION_MARGIN_MS},
 			// Engines finish what runs before they change their role.
 			orderSafeguards: {...ALL_ORDER_SAFEGUARDS, awaitViewAcknowledgements: false, awaitIdle: false},
 			listEngines: () => registry.listUsable().filter(({kind}) => kind === 'engine'),
 			onApplied() {
-				holder.host?.noteApplied();
+				holder.host?.handleStateChange();
 			},
 		});
 		if (Either.isLeft(service)) {
@@ -171,11 +171,11 @@
 
 	/** Takes control hosts that the settings name now. */
 	applySettings({seeds}: Pick<ControlHostOptions, 'seeds'>): void {
-		this.#subscription.addSeeds(seeds.filter(seed => !isSame(seed, this.#options.peer)));
+		this.#subscription.addSeeds(seeds.filter(seed => !isSame(seed, this.#options.peerAddress)));
 	}
 
 	/** Takes an announcement; refused without a majority, so that the server turns to another host. */
-	announce(announcement: Announcement): Either.Either<Problem, void> {
+	handleAnnouncement(announcement: Announcement): Either.Either<Problem, void> {
 		if (!this.#service.hasQuorum) {
 			this.#options.metrics.announcements.inc({outcome: 'refused'});
 			return Either.left(createProblem('noQuorum', undefined, 1));
@@ -188,12 +188,12 @@
 	}
 
 	/** Takes a server's leave. */
-	leave(server: string): Either.Either<Problem, void> {
+	deregister(server: string): Either.Either<Problem, void> {
 		if (!this.#service.hasQuorum) {
 			return Either.left(createProblem('noQuorum', undefined, 1));
 		}
 
-		if (this.registry.leave(server)) {
+		if (this.registry.deregister(server)) {
 			this.#logger.info(`Server ${server} leaves.`, {server});
 			this.#publisher.notify();
 			this.#updateEngines();
@@ -204,8 +204,8 @@
 
 	/** Puts a publication in force, unless a later one is; returns once it cannot be lost any more. */
 	async publish(text: string): Promise<Either.Either<Problem, void>> {
-		const {dialect, metrics} = this.#options;
-		const catalogue = dialect.readCatalogue(text);
+		const {protocol: dialect, metrics} = this.#options;
+		const catalogue = dialect.parseRoutingConfig(text);
 		if (Either.isLeft(catalogue)) {
 			metrics.publications.inc({outcome: 'invalid'});
 			this.#logger.warn(`Refused a publication: ${catalogue.left.text}`, {bytes: text.length});
@@ -251,12 +251,12 @@
 	receive(message: Message, connection: Connection): void {
 		switch (message.type) {
 			case 'watch': {
-				this.#publisher.receive(message, connection);
+				this.#publisher.handleWatch(message, connection);
 				break;
 			}
 
 			case 'offer': {
-				const decision = this.#placer.offer(message, this.#options.clock.monotonicMs());
+				const decision = this.#placer.place(message, this.#options.clock.monotonicMs());
 				this.#options.metrics.placementDecisions.inc({decision: decision.type});
 				connection.send(decision);
 				break;
@@ -264,12 +264,12 @@
 
 			case 'shadow': {
 				const {type: _type, reader, runner, ...request} = message;
-				this.#placer.observe(request, reader, runner, this.#options.clock.monotonicMs());
+				this.#placer.recordPlacement(request, reader, runner, this.#options.clock.monotonicMs());
 				break;
 			}
 
 			case 'milestone': {
-				const decision = this.#placer.note(message.id, message.stage, message.server, this.#options.clock.monotonicMs());
+				const decision = this.#placer.recordMilestone(message.id, message.stage, message.server, this.#options.clock.monotonicMs());
 				if (decision) {
 					connection.send(decision);
 				}
@@ -284,7 +284,7 @@
 	}
 
 	/** Follows the state that the log drives. */
-	noteApplied(): void {
+	handleStateChange(): void {
 		this.#onApplied();
 	}
 
@@ -304,7 +304,7 @@
 	}
 
 	#isWarm(): boolean {
-		return this.#options.clock.monotonicMs() - this.#startedMs > this.#options.announceMs * WARM_INTERVALS;
+		return this.#options.clock.monotonicMs() - this.#startedMs > this.#options.announceIntervalMs * WARM_INTERVALS;
 	}
 
 	#isNew(): boolean {
@@ -312,7 +312,7 @@
 		return firstStart && clock.monotonicMs() - this.#startedMs < NEW_MS;
 	}
 
-	#noteMerge(merge: Merge, {server, incarnation, sequence, role, leaving}: Announcement): void {
+	#noteMerge(merge: MergeResult, {server, incarnation, sequence, role, leaving}: Announcement): void {
 		if (merge === 'change') {
 			this.#logger.info(`Server ${server} has news.`, {
 				server, incarnation, sequence, role, leaving,
@@ -325,11 +325,11 @@
 	#onApplied(): void {
 		this.#updateEngines();
 		const {publication} = this.#service.state;
-		if (!publication || publication.version === this.#table?.catalogue.version) {
+		if (!publication || publication.version === this.#table?.config.version) {
 			return;
 		}
 
-		const catalogue = this.#options.dialect.readCatalogue(publication.body);
+		const catalogue = this.#options.protocol.parseRoutingConfig(publication.body);
 		if (Either.isLeft(catalogue)) {
 			this.#logger.error(`Publication ${publication.version} cannot be read.`, {version: publication.version, reason: catalogue.left.text});
 			return;
@@ -338,8 +338,8 @@
 		this.#useCatalogue(catalogue.right);
 	}
 
-	#useCatalogue(catalogue: Catalogue): void {
-		this.#table = new RuleTable(catalogue);
+	#useCatalogue(catalogue: RoutingConfig): void {
+		this.#table = new RouteTable(catalogue);
 		this.#publisher.notify();
 		this.#updateEngines();
 	}
@@ -347,7 +347,7 @@
 	#updateEngines(): void {
 		const changes = this.#service.state.listOpenChanges();
 		const usable = this.registry.listUsable().filter(({server}) => !changes.some(change => excludesServer(change, server)));
-		this.#placer.updateEngines(listEngineFacts(usable, this.#table));
+		this.#placer.updateEngines(listEngines(usable, this.#table));
 	}
 
 	#tick(): void {
@@ -367,10 +367,10 @@
 		const {metrics} = this.#options;
 		metrics.openPlacements.set(this.#placer.openCount);
 		metrics.usableServers.set(this.registry.listUsable().length);
-		metrics.feedEntryHosts.set(this.#publisher.entryCount);
+		metrics.feedEntryHosts.set(this.#publisher.entryHostCount);
 		metrics.isLeader.set(this.#service.holdsLeaderLease ? 1 : 0);
 		metrics.hasMajority.set(this.#service.hasQuorum ? 1 : 0);
-		metrics.publicationVersion.set(this.#table?.catalogue.version ?? 0);
+		metrics.publicationVersion.set(this.#table?.config.version ?? 0);
 	}
 
 	async #planRoles(): Promise<void> {
@@ -382,7 +382,7 @@
 			return;
 		}
 
-		const changes = this.#roles.plan(listEngineFacts(this.registry.listUsable(), this.#table), {nowMs, isNew: this.#isNew()});
+		const changes = this.#roles.plan(listEngines(this.registry.listUsable(), this.#table), {nowMs, isStartup: this.#isNew()});
 		if (changes.length > 0) {
 			this.#roleChangedMs = nowMs;
 		}
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {ControlState, createResourceKey} from '../src/control/state.js';
-import {View} from '../src/entry/view.js';
+import {ResourceView} from '../src/entry/view.js';
 import type {Command, PutCommand} from '../src/generated/types.js';
-import {decodeValue, encodeValue} from '../src/wire/frame.js';
+import {decodeCbor, encodeCbor} from '../src/wire/frame.js';
 import {assertSnapshot} from './snapshot.js';
 
 test('of two concurrent puts with the same version one succeeds, and the other gets a conflict with the new version', () => {
@@ -26,7 +26,7 @@
 
 test('a watch resumed from any version ends with the same resources', () => {
 	const state = new ControlState();
-	const views = Array.from({length: 40}, () => new View());
+	const views = Array.from({length: 40}, () => new ResourceView());
 	for (let index = 1; index <= 40; index++) {
 		const command: Command = index % 5 === 0
 			? {
@@ -48,10 +48,10 @@
 	state.apply(createPut('p1', 0), 1);
 	const old = state.createViewUpdate(-1);
 	state.apply(createPut('p2', 1), 2);
-	const view = new View();
+	const view = new ResourceView();
 	assert.ok(view.apply(state.createViewUpdate(-1)));
 	assert.ok(!view.apply(old));
-	assert.ok(!new View().apply(state.createViewUpdate(1)));
+	assert.ok(!new ResourceView().apply(state.createViewUpdate(1)));
 	assert.equal(view.version, 2);
 });
 
@@ -64,7 +64,7 @@
 	state.apply({
 		type: 'put', at: 0, requestId: 'c', name: 'c', seen: 0, specification: {kind: 'change', action: 'drain', server: 'e1'},
 	}, 3);
-	const copy = new ControlState(decodeValue(encodeValue(state.createSnapshot())) as ReturnType<ControlState['createSnapshot']>);
+	const copy = new ControlState(decodeCbor(encodeCbor(state.createSnapshot())) as ReturnType<ControlState['createSnapshot']>);
 	assert.deepEqual(copy.createSnapshot(), state.createSnapshot());
 	assert.deepEqual(copy.apply(createPut('p1', 0), 4), answer);
 });
@@ -112,6 +112,6 @@
 	};
 }
 
-function listNames(view: View): string[] {
+function listNames(view: ResourceView): string[] {
 	return view.list().map(({name, version, specification}) => `${createResourceKey(specification.kind, name)}@${version}`).toSorted();
 }
