--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -265,7 +265,7 @@
 			}
 
 			case 'propose-configuration': {
-				this.#onConfigure(event.configuration, nowMs);
+				this.#onProposeConfiguration(event.configuration, nowMs);
 				break;
 			}
 
@@ -435,9 +435,9 @@
 			return;
 		}
 
-		const leaseHolds = this.#safeguards.respectLease && nowMs < this.#denyVotesUntilMs && !request.transfer;
+		const mayLeaseBeValid = this.#safeguards.respectLease && nowMs < this.#denyVotesUntilMs && !request.transfer;
 		const isActiveLeader = this.#role === REPLICA_ROLES.leader && request.term <= this.#term + 1 && request.preVote;
-		if (leaseHolds || isActiveLeader) {
+		if (mayLeaseBeValid || isActiveLeader) {
 			this.#sendAfterSync(member, {
 				type: 'vote-reply', term: this.#term, preVote: request.preVote, granted: false,
 			});
@@ -642,14 +642,14 @@
 			return;
 		}
 
-		const first = this.#log.lastIndex + 1;
+		const firstIndex = this.#log.lastIndex + 1;
 		this.#appendAsLeader(data.map((bytes, offset) => ({
-			type: 'command', index: first + offset, term: this.#term, data: bytes,
+			type: 'command', index: firstIndex + offset, term: this.#term, data: bytes,
 		})));
 		this.#broadcast(nowMs);
 	}
 
-	#onConfigure(configuration: Configuration, nowMs: number): void {
+	#onProposeConfiguration(configuration: Configuration, nowMs: number): void {
 		if (this.#role === REPLICA_ROLES.leader && this.isConfigurationCommitted && this.#configuration.outgoing.length === 0) {
 			this.#appendConfiguration(configuration, nowMs);
 		}
--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -55,9 +55,9 @@
 const FRAME_MAGIC = 0xCA_5A_AD_01;
 const FRAME_HEADER_BYTES = 12;
 const IDENTITY_FILE = 'identity.json';
-const NO_MEMBERS: Configuration = {voters: [], outgoing: [], learners: []};
+const EMPTY_CONFIGURATION: Configuration = {voters: [], outgoing: [], learners: []};
 export const EMPTY_SNAPSHOT: Snapshot = {
-	index: 0, term: 0, configuration: NO_MEMBERS, data: new Uint8Array(),
+	index: 0, term: 0, configuration: EMPTY_CONFIGURATION, data: new Uint8Array(),
 };
 export const EMPTY_PERSISTENT_STATE: PersistentState = {hard: {term: 0, vote: ''}, snapshot: EMPTY_SNAPSHOT, entries: []};
 
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -37,7 +37,7 @@
 	readonly claimGraceMs: number;
 	/** Minimum time between two tries to send or query the same order, and between two identical proposals. */
 	readonly orderRetryMs: number;
-	/** A server that has not announced itself for this long counts as gone. */
+	/** A server that has not announced itself for this long is considered down. */
 	readonly serverTimeoutMs: number;
 	/**
 	 * Minimum time between the last order of one leader and the first order of the next to servers without fencing, even
@@ -405,7 +405,7 @@
 	#isIdle(name: string, server: string, nowMs: number): boolean {
 		const observation = this.#observations.get(server);
 		if (!observation || nowMs - observation.atMs > this.#timing.serverTimeoutMs) {
-			// A server that has been silent for so long counts as gone, so no running work can be interrupted.
+			// A server that has been silent for so long is considered down, so no running work can be interrupted.
 			return nowMs - this.#electedMs >= this.#timing.serverTimeoutMs;
 		}
 
