--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -1,8 +1,9 @@
 /**
- * One replica of the log as a step machine: events in, effects out; no clock, socket, file or timer.
+ * Raft replica as a state machine without I/O: it takes an event and the current time, and returns the effects that the
+ * caller must execute.
  *
- * Leader-based replication after Raft, with pre-vote, leader leases measured from the sending of a round,
- * read index, learners, joint configurations and handing over of leadership.
+ * Beyond basic Raft it implements pre-vote, leader leases (measured from the time at which a round of append requests
+ * is sent), read index, learners, joint configurations and leadership transfer.
  *
  * @module
  */
@@ -19,30 +20,31 @@
 export const REPLICA_ROLES = {follower: 'follower', candidate: 'candidate', leader: 'leader'} as const;
 export type ReplicaRole = keyof typeof REPLICA_ROLES;
 
-/** Durations in milliseconds of monotonic time. */
+/** Timing of elections and heartbeats; durations in milliseconds of monotonic time. */
 export type ReplicaTiming = {
 	readonly heartbeatMs: number;
-	/** Shortest election timeout; also the length of the leader's lease. */
+	/** Minimum election timeout; also the duration of the leader lease. */
 	readonly electionMs: number;
-	/** Share of a lease that is given up to clocks that run at different speeds. */
+	/** Fraction of the lease that the leader does not use, because clocks run at different rates. */
 	readonly clockDrift: number;
 };
 
 export const DEFAULT_REPLICA_TIMING: ReplicaTiming = {heartbeatMs: 100, electionMs: 600, clockDrift: 0.05};
 
-/** What must be on disk before a replica may answer for it. */
+/** Raft's hard state: must be synced to disk before a replica sends a message that depends on it. */
 export type HardState = {
 	readonly term: number;
 	readonly vote: string;
 };
 
-/** One change to the files of a replica. */
+/** One record of the write-ahead log. */
 export type LogRecord
 	= | {readonly type: 'hard'; readonly state: HardState}
 		| {readonly type: 'truncate'; readonly from: number}
 		| {readonly type: 'entries'; readonly entries: readonly Entry[]}
 		| {readonly type: 'snapshot'; readonly snapshot: Snapshot};
 
+/** An effect that the caller must execute, in the order in which a step returns them. */
 export type ReplicaEffect
 	= | {readonly type: 'write'; readonly sequence: number; readonly records: readonly LogRecord[]}
 		| {readonly type: 'send'; readonly to: Member; readonly body: ConsensusBody}
@@ -52,6 +54,7 @@
 		| {readonly type: 'read'; readonly id: number; readonly index: number}
 		| {readonly type: 'read-refused'; readonly id: number};
 
+/** An input of the state machine. */
 export type ReplicaEvent
 	= | {readonly type: 'tick'}
 		| {readonly type: 'synced'; readonly sequence: number}
@@ -74,17 +77,19 @@
 	readonly maxEntriesPerAppend?: number;
 };
 
+/** What the leader knows about the log of another replica. */
 type PeerProgress = {
 	nextIndex: number;
 	matchIndex: number;
-	/** Highest round that the peer has confirmed. */
+	/** Highest round of append requests that the peer has acknowledged. */
 	round: number;
-	/** When that round was sent. */
+	/** Time at which that round was sent. */
 	confirmedMs: number;
-	/** An install request is on its way until this time. */
+	/** Until this time no other snapshot is sent, because one is assumed to be in transit. */
 	installUntilMs: number;
 };
 
+/** A read that waits until a quorum has acknowledged a round. */
 type PendingRead = {
 	readonly id: number;
 	readonly round: number;
@@ -93,9 +98,9 @@
 
 const DEFAULT_ENTRIES_PER_APPEND = 512;
 const INSTALL_RETRY_MS = 2000;
-const NOBODY = '';
+const NO_REPLICA = '';
 
-/** The step machine of one replica. */
+/** State machine of one Raft replica. */
 export class Replica {
 	readonly id: string;
 	readonly timing: ReplicaTiming;
@@ -106,28 +111,31 @@
 	#term: number;
 	#vote: string;
 	#role: ReplicaRole = REPLICA_ROLES.follower;
-	#leader = NOBODY;
+	#leader = NO_REPLICA;
 	#commitIndex: number;
 	#configuration: Configuration;
 	#configurationIndex: number;
 	#electionDeadlineMs = 0;
-	#quietUntilMs: number;
+	/** Until this time the current leader's lease may be valid, so votes are denied. */
+	#denyVotesUntilMs: number;
 	#heartbeatDueMs = 0;
 	#electedMs = 0;
-	#ownVoteSequence = Number.POSITIVE_INFINITY;
-	#preVoting = false;
+	/** Sequence number of the write that stores this candidate's own vote. */
+	#selfVoteSequence = Number.POSITIVE_INFINITY;
+	#isPreVoting = false;
 	#votes = new Set<string>();
 	#peers = new Map<string, PeerProgress>();
 	#round = 0;
 	#roundSentMs = new Map<number, number>();
-	#reads: PendingRead[] = [];
-	/** When leadership was handed over; infinite if it was not. */
-	#handedOverMs = Number.POSITIVE_INFINITY;
+	#pendingReads: PendingRead[] = [];
+	/** Time at which a leadership transfer began; infinite if none is in progress. */
+	#transferStartedMs = Number.POSITIVE_INFINITY;
 	#writeSequence = 0;
 	#syncedSequence = 0;
 	#syncedIndex: number;
 	readonly #pendingWrites: Array<{sequence: number; lastIndex: number}> = [];
-	#held: Array<{sequence: number; effect: ReplicaEffect}> = [];
+	/** Messages that wait until a write is synced. */
+	#deferredSends: Array<{sequence: number; effect: ReplicaEffect}> = [];
 	#effects: ReplicaEffect[] = [];
 
 	constructor(options: ReplicaOptions) {
@@ -144,9 +152,9 @@
 		const {index, configuration} = this.#log.findLatestConfiguration();
 		this.#configuration = configuration;
 		this.#configurationIndex = index;
-		// A restarted replica may have promised a leader its lease and not remember it.
-		this.#quietUntilMs = options.nowMs + this.timing.electionMs;
-		this.#resetElection(options.nowMs);
+		// Before its restart this replica may have extended a leader's lease, which is not stored.
+		this.#denyVotesUntilMs = options.nowMs + this.timing.electionMs;
+		this.#resetElectionTimer(options.nowMs);
 	}
 
 	get role(): ReplicaRole {
@@ -157,7 +165,7 @@
 		return this.#term;
 	}
 
-	/** Identity of the leader last heard of; empty if there is none. */
+	/** Replica identity of the current leader; empty if it is unknown. */
 	get leader(): string {
 		return this.#leader;
 	}
@@ -182,39 +190,39 @@
 		return this.#configuration;
 	}
 
-	/** Whether the configuration in force is committed. */
+	/** Whether the current configuration is committed. */
 	get isConfigurationCommitted(): boolean {
 		return this.#commitIndex >= this.#configurationIndex;
 	}
 
-	/** Whether the leader has committed an entry of its own term, so that it knows all that is committed. */
+	/** Whether this replica leads and has committed an entry of its own term, so that its commit index is current. */
 	get isLeaderReady(): boolean {
 		return this.#role === REPLICA_ROLES.leader && this.#log.getTerm(this.#commitIndex) === this.#term;
 	}
 
-	/** Whether a majority follows this leader, or this follower has heard its leader, within an election timeout. */
+	/** Whether a leader has a valid lease, or a follower has received a message of its leader within an election timeout. */
 	hasQuorumContact(nowMs: number): boolean {
 		return this.#role === REPLICA_ROLES.leader
 			? this.getLeaseExpiryMs(nowMs) > nowMs
-			: this.#leader !== NOBODY && nowMs < this.#quietUntilMs;
+			: this.#leader !== NO_REPLICA && nowMs < this.#denyVotesUntilMs;
 	}
 
-	/** Term of an entry that is still in the log. */
+	/** Returns the term of an entry, or undefined if the log does not contain it. */
 	getTerm(index: number): number | undefined {
 		return this.#log.getTerm(index);
 	}
 
-	/** Monotonic time until which no other leader can exist; in the past without authority. */
+	/** Returns the monotonic time until which no other leader can exist; in the past if this replica has no lease. */
 	getLeaseExpiryMs(nowMs: number): number {
-		if (this.#role !== REPLICA_ROLES.leader || this.#handedOverMs <= nowMs) {
+		if (this.#role !== REPLICA_ROLES.leader || this.#transferStartedMs <= nowMs) {
 			return Number.NEGATIVE_INFINITY;
 		}
 
-		const confirmedMs = findQuorumValue(this.#configuration, replica => this.#confirmedMs(replica, nowMs));
+		const confirmedMs = findQuorumValue(this.#configuration, replica => this.#getConfirmedMs(replica, nowMs));
 		return confirmedMs + (this.timing.electionMs * (1 - this.timing.clockDrift));
 	}
 
-	/** How far a peer has got, for the leader's report. */
+	/** Returns how far a replica has replicated the log and whether it responds, as seen by the leader. */
 	getProgress(replica: string, nowMs: number): {readonly matchIndex: number; readonly alive: boolean} {
 		if (replica === this.id) {
 			return {matchIndex: this.#syncedIndex, alive: true};
@@ -227,14 +235,14 @@
 		};
 	}
 
-	/** Takes one event and returns what must be done, in order. */
+	/** Processes one event and returns the effects to execute, in order. */
 	step(event: ReplicaEvent, nowMs: number): ReplicaEffect[] {
 		this.#effects = [];
-		this.#handle(event, nowMs);
+		this.#handleEvent(event, nowMs);
 		return this.#effects;
 	}
 
-	#handle(event: ReplicaEvent, nowMs: number): void {
+	#handleEvent(event: ReplicaEvent, nowMs: number): void {
 		switch (event.type) {
 			case 'tick': {
 				this.#tick(nowMs);
@@ -257,7 +265,7 @@
 			}
 
 			case 'propose-configuration': {
-				this.#onConfigure(event.configuration, nowMs);
+				this.#onProposeConfiguration(event.configuration, nowMs);
 				break;
 			}
 
@@ -272,7 +280,7 @@
 			}
 
 			case 'transfer-leadership': {
-				this.#handOver(nowMs);
+				this.#transferLeadership(nowMs);
 				break;
 			}
 		}
@@ -290,12 +298,12 @@
 	}
 
 	#tickLeader(nowMs: number): void {
-		const heardMs = findQuorumValue(this.#configuration, replica => this.#confirmedMs(replica, nowMs));
-		const isCutOff = nowMs - Math.max(heardMs, this.#electedMs) >= this.timing.electionMs;
-		// A hand-over that came to nothing leaves a leader without a lease: an election must follow.
-		const isHandOverOver = nowMs - this.#handedOverMs >= this.timing.electionMs;
-		if (isCutOff || isHandOverOver) {
-			this.#becomeFollower(this.#term, NOBODY, nowMs);
+		const quorumContactMs = findQuorumValue(this.#configuration, replica => this.#getConfirmedMs(replica, nowMs));
+		const hasLostQuorum = nowMs - Math.max(quorumContactMs, this.#electedMs) >= this.timing.electionMs;
+		// After a failed leadership transfer the leader has no lease, so it steps down to trigger an election.
+		const isTransferTimedOut = nowMs - this.#transferStartedMs >= this.timing.electionMs;
+		if (hasLostQuorum || isTransferTimedOut) {
+			this.#becomeFollower(this.#term, NO_REPLICA, nowMs);
 			return;
 		}
 
@@ -305,14 +313,14 @@
 	}
 
 	#startElection(nowMs: number, options: {preVote: boolean; transfer: boolean}): void {
-		this.#resetElection(nowMs);
-		this.#leader = NOBODY;
-		this.#preVoting = options.preVote;
+		this.#resetElectionTimer(nowMs);
+		this.#leader = NO_REPLICA;
+		this.#isPreVoting = options.preVote;
 		this.#votes = new Set([this.id]);
 		if (!options.preVote) {
 			this.#setTerm(this.#term + 1, this.id);
-			this.#setRole(REPLICA_ROLES.candidate, NOBODY);
-			this.#holdOwnVote();
+			this.#setRole(REPLICA_ROLES.candidate, NO_REPLICA);
+			this.#deferSelfVote();
 		}
 
 		const request: VoteRequest = {
@@ -323,20 +331,20 @@
 			lastIndex: this.#log.lastIndex,
 			lastTerm: this.#log.lastTerm,
 		};
-		for (const member of this.#others()) {
+		for (const member of this.#listPeers()) {
 			if (isVoter(this.#configuration, member.replica)) {
-				this.#sendDurable(member, request);
+				this.#sendAfterSync(member, request);
 			}
 		}
 
 		this.#countVotes(nowMs);
 	}
 
-	/** A replica's vote for itself counts like any other: once it is on disk. */
-	#holdOwnVote(): void {
+	/** A candidate's own vote counts only once it is synced to disk, like any other vote. */
+	#deferSelfVote(): void {
 		if (this.#safeguards.syncBeforeReply) {
 			this.#votes.clear();
-			this.#ownVoteSequence = this.#writeSequence;
+			this.#selfVoteSequence = this.#writeSequence;
 		}
 	}
 
@@ -345,7 +353,7 @@
 			return;
 		}
 
-		if (this.#preVoting) {
+		if (this.#isPreVoting) {
 			this.#startElection(nowMs, {preVote: false, transfer: false});
 			return;
 		}
@@ -357,24 +365,24 @@
 
 	#becomeLeader(nowMs: number): void {
 		this.#peers = new Map();
-		this.#reads = [];
-		this.#handedOverMs = Number.POSITIVE_INFINITY;
+		this.#pendingReads = [];
+		this.#transferStartedMs = Number.POSITIVE_INFINITY;
 		this.#electedMs = nowMs;
 		this.#round = 0;
 		this.#roundSentMs = new Map();
 		this.#setRole(REPLICA_ROLES.leader, this.id);
-		this.#appendOwn([{type: 'noop', index: this.#log.lastIndex + 1, term: this.#term}]);
+		this.#appendAsLeader([{type: 'noop', index: this.#log.lastIndex + 1, term: this.#term}]);
 		this.#broadcast(nowMs);
 	}
 
 	#becomeFollower(term: number, leader: string, nowMs: number): void {
 		if (term > this.#term) {
-			this.#setTerm(term, NOBODY);
+			this.#setTerm(term, NO_REPLICA);
 		}
 
 		this.#refuseReads();
-		this.#preVoting = false;
-		this.#resetElection(nowMs);
+		this.#isPreVoting = false;
+		this.#resetElectionTimer(nowMs);
 		this.#setRole(REPLICA_ROLES.follower, leader);
 	}
 
@@ -384,10 +392,10 @@
 			return;
 		}
 
-		// A granted pre-vote carries the term it asks for, which nobody has reached yet.
+		// A granted pre-vote carries the requested term, which no replica has entered yet.
 		const isPreVoteGrant = body.type === 'vote-reply' && body.preVote && body.granted;
 		if (body.term > this.#term && !isPreVoteGrant) {
-			this.#becomeFollower(body.term, NOBODY, nowMs);
+			this.#becomeFollower(body.term, NO_REPLICA, nowMs);
 		}
 
 		switch (body.type) {
@@ -427,39 +435,39 @@
 			return;
 		}
 
-		const leaseHolds = this.#safeguards.respectLease && nowMs < this.#quietUntilMs && !request.transfer;
-		const leads = this.#role === REPLICA_ROLES.leader && request.term <= this.#term + 1 && request.preVote;
-		if (leaseHolds || leads) {
-			this.#sendDurable(member, {
+		const mayLeaseBeValid = this.#safeguards.respectLease && nowMs < this.#denyVotesUntilMs && !request.transfer;
+		const isActiveLeader = this.#role === REPLICA_ROLES.leader && request.term <= this.#term + 1 && request.preVote;
+		if (mayLeaseBeValid || isActiveLeader) {
+			this.#sendAfterSync(member, {
 				type: 'vote-reply', term: this.#term, preVote: request.preVote, granted: false,
 			});
 			return;
 		}
 
 		if (!request.preVote && request.term > this.#term) {
-			this.#becomeFollower(request.term, NOBODY, nowMs);
+			this.#becomeFollower(request.term, NO_REPLICA, nowMs);
 		}
 
 		const isCurrent = request.preVote ? request.term > this.#term : request.term === this.#term;
-		const isFree = request.preVote || this.#vote === NOBODY || this.#vote === from;
+		const isVoteAvailable = request.preVote || this.#vote === NO_REPLICA || this.#vote === from;
 		const isUpToDate = request.lastTerm > this.#log.lastTerm
 			|| (request.lastTerm === this.#log.lastTerm && request.lastIndex >= this.#log.lastIndex);
-		const granted = isCurrent && isFree && isUpToDate;
+		const granted = isCurrent && isVoteAvailable && isUpToDate;
 		if (granted && !request.preVote) {
 			this.#setTerm(this.#term, from);
-			this.#resetElection(nowMs);
+			this.#resetElectionTimer(nowMs);
 		}
 
 		const term = granted ? request.term : this.#term;
-		this.#sendDurable(member, {
+		this.#sendAfterSync(member, {
 			type: 'vote-reply', term, preVote: request.preVote, granted,
 		});
 	}
 
 	#onVoteReply(from: string, reply: VoteReply, nowMs: number): void {
 		const expectedTerm = reply.preVote ? this.#term + 1 : this.#term;
-		const isExpected = reply.preVote === this.#preVoting && (this.#preVoting || this.#role === REPLICA_ROLES.candidate);
-		if (!reply.granted || !isExpected || reply.term !== expectedTerm) {
+		const isCurrentElection = reply.preVote === this.#isPreVoting && (this.#isPreVoting || this.#role === REPLICA_ROLES.candidate);
+		if (!reply.granted || !isCurrentElection || reply.term !== expectedTerm) {
 			return;
 		}
 
@@ -475,25 +483,25 @@
 			type: 'append-reply', term: this.#term, round: request.round, success, matchIndex,
 		});
 		if (request.term < this.#term) {
-			this.#sendDurable(member, reply(false, 0));
+			this.#sendAfterSync(member, reply(false, 0));
 			return;
 		}
 
-		this.#follow(from, nowMs);
+		this.#followLeader(from, nowMs);
 		if (request.previousIndex < this.#log.snapshot.index) {
-			// What lies before the snapshot is committed, thus equal.
+			// Entries that the snapshot covers are committed and therefore identical.
 			const skipped = this.#log.snapshot.index - request.previousIndex;
-			this.#appendFrom(request.entries.slice(skipped));
+			this.#appendNewEntries(request.entries.slice(skipped));
 		} else if (this.#safeguards.checkLogMatching && this.#log.getTerm(request.previousIndex) !== request.previousTerm) {
-			this.#sendDurable(member, reply(false, this.#findRetryIndex(request.previousIndex)));
+			this.#sendAfterSync(member, reply(false, this.#findRetryIndex(request.previousIndex)));
 			return;
 		} else {
-			this.#appendFrom(request.entries);
+			this.#appendNewEntries(request.entries);
 		}
 
 		const matchIndex = Math.max(request.previousIndex + request.entries.length, this.#log.snapshot.index);
 		this.#advanceCommit(Math.min(request.commitIndex, matchIndex));
-		this.#sendDurable(member, reply(true, matchIndex));
+		this.#sendAfterSync(member, reply(true, matchIndex));
 	}
 
 	#onInstallRequest(from: string, request: InstallRequest, nowMs: number): void {
@@ -501,53 +509,53 @@
 			replica: from, host: '', address: '', port: 0,
 		};
 		if (request.term < this.#term) {
-			this.#sendDurable(member, {
+			this.#sendAfterSync(member, {
 				type: 'append-reply', term: this.#term, round: request.round, success: false, matchIndex: 0,
 			});
 			return;
 		}
 
-		this.#follow(from, nowMs);
+		this.#followLeader(from, nowMs);
 		const {snapshot} = request;
 		if (snapshot.index > this.#commitIndex) {
 			this.#log.compact(snapshot);
 			this.#commitIndex = snapshot.index;
-			this.#readConfiguration();
+			this.#updateConfiguration();
 			this.#write([{type: 'snapshot', snapshot}]);
 			this.#effects.push({type: 'restore', snapshot});
 		}
 
-		this.#sendDurable(member, {
+		this.#sendAfterSync(member, {
 			type: 'append-reply', term: this.#term, round: request.round, success: true, matchIndex: snapshot.index,
 		});
 	}
 
-	#follow(leader: string, nowMs: number): void {
-		this.#quietUntilMs = nowMs + this.timing.electionMs;
-		this.#resetElection(nowMs);
-		this.#preVoting = false;
+	#followLeader(leader: string, nowMs: number): void {
+		this.#denyVotesUntilMs = nowMs + this.timing.electionMs;
+		this.#resetElectionTimer(nowMs);
+		this.#isPreVoting = false;
 		if (this.#role !== REPLICA_ROLES.follower || this.#leader !== leader) {
 			this.#setRole(REPLICA_ROLES.follower, leader);
 		}
 	}
 
-	#appendFrom(entries: readonly Entry[]): void {
+	#appendNewEntries(entries: readonly Entry[]): void {
 		const start = entries.findIndex(entry => this.#log.getTerm(entry.index) !== entry.term);
 		if (start === -1) {
 			return;
 		}
 
-		const added = entries.slice(start);
-		const from = added[0]!.index;
+		const newEntries = entries.slice(start);
+		const from = newEntries[0]!.index;
 		const records: LogRecord[] = [];
 		if (from <= this.#log.lastIndex) {
 			this.#truncate(from);
 			records.push({type: 'truncate', from});
 		}
 
-		this.#log.append(added);
-		records.push({type: 'entries', entries: added});
-		this.#readConfiguration();
+		this.#log.append(newEntries);
+		records.push({type: 'entries', entries: newEntries});
+		this.#updateConfiguration();
 		this.#write(records);
 	}
 
@@ -559,7 +567,10 @@
 		}
 	}
 
-	/** The leader may try right after the last index that could match: the end, or before the conflicting term. */
+	/**
+	 * Finds the last index that may match the leader's log: the end of the log, or the entry before the conflicting term.
+	 * The leader retries with the entry after it.
+	 */
 	#findRetryIndex(previousIndex: number): number {
 		if (previousIndex > this.#log.lastIndex) {
 			return this.#log.lastIndex;
@@ -579,7 +590,7 @@
 			return;
 		}
 
-		const peer = this.#peerOf(from);
+		const peer = this.#getPeerProgress(from);
 		peer.round = Math.max(peer.round, reply.round);
 		peer.confirmedMs = Math.max(peer.confirmedMs, this.#roundSentMs.get(reply.round) ?? Number.NEGATIVE_INFINITY);
 		if (reply.success) {
@@ -590,38 +601,38 @@
 			peer.nextIndex = Math.max(peer.matchIndex + 1, Math.min(reply.matchIndex + 1, peer.nextIndex - 1));
 		}
 
-		this.#answerReads();
-		this.#commitByQuorum(nowMs);
+		this.#completeReads();
+		this.#advanceCommitByQuorum(nowMs);
 		this.#leaveJointConfiguration(nowMs);
 		const member = this.#findMember(from);
-		const hasMore = peer.nextIndex <= this.#log.lastIndex;
-		if (member && this.#role === REPLICA_ROLES.leader && (!reply.success || hasMore)) {
+		const hasUnsentEntries = peer.nextIndex <= this.#log.lastIndex;
+		if (member && this.#role === REPLICA_ROLES.leader && (!reply.success || hasUnsentEntries)) {
 			this.#sendEntries(member, nowMs);
 		}
 	}
 
-	#commitByQuorum(nowMs: number): void {
-		const reached = findQuorumValue(this.#configuration, replica => this.#matchIndexOf(replica));
-		const isOwnTerm = this.#log.getTerm(reached) === this.#term || !this.#safeguards.commitOwnTermOnly;
-		if (reached <= this.#commitIndex || !isOwnTerm) {
+	#advanceCommitByQuorum(nowMs: number): void {
+		const quorumIndex = findQuorumValue(this.#configuration, replica => this.#getMatchIndex(replica));
+		const isOwnTerm = this.#log.getTerm(quorumIndex) === this.#term || !this.#safeguards.commitOwnTermOnly;
+		if (quorumIndex <= this.#commitIndex || !isOwnTerm) {
 			return;
 		}
 
-		this.#advanceCommit(reached);
+		this.#advanceCommit(quorumIndex);
 		this.#heartbeatDueMs = Math.min(this.#heartbeatDueMs, nowMs + (this.timing.heartbeatMs / 4));
 		if (this.isConfigurationCommitted && !isVoter(this.#configuration, this.id)) {
-			// The last message tells the others that the configuration without this replica is committed.
+			// This last broadcast tells the others that the configuration without this replica is committed.
 			this.#broadcast(nowMs);
-			this.#becomeFollower(this.#term, NOBODY, nowMs);
+			this.#becomeFollower(this.#term, NO_REPLICA, nowMs);
 		}
 	}
 
-	/** Leaves a joint configuration once it is committed and every new voter holds it. */
+	/** Proposes the final configuration once the joint one is committed and every new voter has replicated it. */
 	#leaveJointConfiguration(nowMs: number): void {
 		const {voters, outgoing, learners} = this.#configuration;
-		const isHeld = voters.every(member => outgoing.some(old => old.replica === member.replica)
-			|| this.#matchIndexOf(member.replica) >= this.#configurationIndex);
-		if (this.#role === REPLICA_ROLES.leader && outgoing.length > 0 && this.isConfigurationCommitted && isHeld) {
+		const isReplicatedToNewVoters = voters.every(member => outgoing.some(previous => previous.replica === member.replica)
+			|| this.#getMatchIndex(member.replica) >= this.#configurationIndex);
+		if (this.#role === REPLICA_ROLES.leader && outgoing.length > 0 && this.isConfigurationCommitted && isReplicatedToNewVoters) {
 			this.#appendConfiguration({voters, outgoing: [], learners}, nowMs);
 		}
 	}
@@ -631,29 +642,29 @@
 			return;
 		}
 
-		const first = this.#log.lastIndex + 1;
-		this.#appendOwn(data.map((bytes, offset) => ({
-			type: 'command', index: first + offset, term: this.#term, data: bytes,
+		const firstIndex = this.#log.lastIndex + 1;
+		this.#appendAsLeader(data.map((bytes, offset) => ({
+			type: 'command', index: firstIndex + offset, term: this.#term, data: bytes,
 		})));
 		this.#broadcast(nowMs);
 	}
 
-	#onConfigure(configuration: Configuration, nowMs: number): void {
+	#onProposeConfiguration(configuration: Configuration, nowMs: number): void {
 		if (this.#role === REPLICA_ROLES.leader && this.isConfigurationCommitted && this.#configuration.outgoing.length === 0) {
 			this.#appendConfiguration(configuration, nowMs);
 		}
 	}
 
 	#appendConfiguration(configuration: Configuration, nowMs: number): void {
-		this.#appendOwn([{
+		this.#appendAsLeader([{
 			type: 'configuration', index: this.#log.lastIndex + 1, term: this.#term, configuration,
 		}]);
 		this.#broadcast(nowMs);
 	}
 
-	#appendOwn(entries: readonly Entry[]): void {
+	#appendAsLeader(entries: readonly Entry[]): void {
 		this.#log.append(entries);
-		this.#readConfiguration();
+		this.#updateConfiguration();
 		this.#write([{type: 'entries', entries}]);
 	}
 
@@ -668,26 +679,26 @@
 			return;
 		}
 
-		this.#reads.push({id, round: this.#round + 1, index: this.#commitIndex});
+		this.#pendingReads.push({id, round: this.#round + 1, index: this.#commitIndex});
 		this.#broadcast(nowMs);
-		this.#answerReads();
+		this.#completeReads();
 	}
 
-	#answerReads(): void {
-		const round = findQuorumValue(this.#configuration, replica => this.#confirmedRound(replica));
-		const ready = this.#reads.filter(read => read.round <= round);
-		this.#reads = this.#reads.filter(read => read.round > round);
+	#completeReads(): void {
+		const round = findQuorumValue(this.#configuration, replica => this.#getConfirmedRound(replica));
+		const ready = this.#pendingReads.filter(read => read.round <= round);
+		this.#pendingReads = this.#pendingReads.filter(read => read.round > round);
 		for (const {id, index} of ready) {
 			this.#effects.push({type: 'read', id, index});
 		}
 	}
 
 	#refuseReads(): void {
-		for (const {id} of this.#reads) {
+		for (const {id} of this.#pendingReads) {
 			this.#effects.push({type: 'read-refused', id});
 		}
 
-		this.#reads = [];
+		this.#pendingReads = [];
 	}
 
 	#onCompact(index: number, data: Uint8Array): void {
@@ -697,40 +708,40 @@
 		}
 
 		const snapshot: Snapshot = {
-			index, term, configuration: this.#configurationAt(index), data,
+			index, term, configuration: this.#getConfigurationAt(index), data,
 		};
 		this.#log.compact(snapshot);
 		this.#write([{type: 'snapshot', snapshot}]);
 	}
 
-	/** Hands leadership to the peer that is furthest ahead. */
-	#handOver(nowMs: number): void {
+	/** Asks the reachable voter with the highest match index to start an election. */
+	#transferLeadership(nowMs: number): void {
 		if (this.#role !== REPLICA_ROLES.leader) {
 			return;
 		}
 
-		const candidates = this.#others().filter(member => isVoter(this.#configuration, member.replica)
+		const candidates = this.#listPeers().filter(member => isVoter(this.#configuration, member.replica)
 			&& this.getProgress(member.replica, nowMs).alive);
-		candidates.sort((a, b) => this.#matchIndexOf(b.replica) - this.#matchIndexOf(a.replica));
-		const best = candidates[0];
-		if (best) {
-			// The successor does not wait for the lease to run out, so the lease ends here.
-			this.#handedOverMs = nowMs;
-			this.#effects.push({type: 'send', to: best, body: {type: 'timeout-now', term: this.#term}});
+		candidates.sort((a, b) => this.#getMatchIndex(b.replica) - this.#getMatchIndex(a.replica));
+		const successor = candidates[0];
+		if (successor) {
+			// The successor's election ignores the lease, so this leader must not rely on it any longer.
+			this.#transferStartedMs = nowMs;
+			this.#effects.push({type: 'send', to: successor, body: {type: 'timeout-now', term: this.#term}});
 		}
 	}
 
 	#broadcast(nowMs: number): void {
 		this.#round++;
 		this.#roundSentMs.set(this.#round, nowMs);
-		this.#forgetOldRounds(nowMs);
+		this.#removeOldRounds(nowMs);
 		this.#heartbeatDueMs = nowMs + this.timing.heartbeatMs;
-		for (const member of this.#others()) {
+		for (const member of this.#listPeers()) {
 			this.#sendEntries(member, nowMs);
 		}
 	}
 
-	#forgetOldRounds(nowMs: number): void {
+	#removeOldRounds(nowMs: number): void {
 		for (const [round, sentMs] of this.#roundSentMs) {
 			if (nowMs - sentMs < this.timing.electionMs * 2) {
 				return;
@@ -741,7 +752,7 @@
 	}
 
 	#sendEntries(member: Member, nowMs: number): void {
-		const peer = this.#peerOf(member.replica);
+		const peer = this.#getPeerProgress(member.replica);
 		const previousIndex = peer.nextIndex - 1;
 		const previousTerm = this.#log.getTerm(previousIndex);
 		if (previousTerm === undefined) {
@@ -763,7 +774,7 @@
 				entries,
 			},
 		});
-		// Sent entries are taken as received; a lost one shows as a refused append.
+		// Assume that the entries arrive (pipelining); if they are lost, the next append request is rejected.
 		peer.nextIndex += entries.length;
 	}
 
@@ -787,19 +798,19 @@
 			this.#syncedIndex = this.#pendingWrites.shift()!.lastIndex;
 		}
 
-		const released = this.#held.filter(held => held.sequence <= sequence);
-		this.#held = this.#held.filter(held => held.sequence > sequence);
+		const released = this.#deferredSends.filter(deferred => deferred.sequence <= sequence);
+		this.#deferredSends = this.#deferredSends.filter(deferred => deferred.sequence > sequence);
 		for (const {effect} of released) {
 			this.#effects.push(effect);
 		}
 
-		if (this.#role === REPLICA_ROLES.candidate && sequence >= this.#ownVoteSequence) {
+		if (this.#role === REPLICA_ROLES.candidate && sequence >= this.#selfVoteSequence) {
 			this.#votes.add(this.id);
 			this.#countVotes(nowMs);
 		}
 
 		if (this.#role === REPLICA_ROLES.leader) {
-			this.#commitByQuorum(nowMs);
+			this.#advanceCommitByQuorum(nowMs);
 		}
 	}
 
@@ -809,10 +820,10 @@
 		this.#effects.push({type: 'write', sequence: this.#writeSequence, records});
 	}
 
-	#sendDurable(to: Member, body: ConsensusBody): void {
+	#sendAfterSync(to: Member, body: ConsensusBody): void {
 		const effect: ReplicaEffect = {type: 'send', to, body};
 		if (this.#safeguards.syncBeforeReply && this.#writeSequence > this.#syncedSequence) {
-			this.#held.push({sequence: this.#writeSequence, effect});
+			this.#deferredSends.push({sequence: this.#writeSequence, effect});
 			return;
 		}
 
@@ -843,17 +854,17 @@
 		});
 	}
 
-	#resetElection(nowMs: number): void {
+	#resetElectionTimer(nowMs: number): void {
 		this.#electionDeadlineMs = nowMs + (this.timing.electionMs * (1 + this.#random()));
 	}
 
-	#readConfiguration(): void {
+	#updateConfiguration(): void {
 		const {index, configuration} = this.#log.findLatestConfiguration();
 		this.#configuration = configuration;
 		this.#configurationIndex = index;
 	}
 
-	#configurationAt(index: number): Configuration {
+	#getConfigurationAt(index: number): Configuration {
 		for (let at = index; at > this.#log.snapshot.index; at--) {
 			const entry = this.#log.getEntry(at);
 			if (entry?.type === 'configuration') {
@@ -864,7 +875,7 @@
 		return this.#log.snapshot.configuration;
 	}
 
-	#others(): Member[] {
+	#listPeers(): Member[] {
 		return listMembers(this.#configuration).filter(member => member.replica !== this.id);
 	}
 
@@ -872,7 +883,7 @@
 		return listMembers(this.#configuration).find(member => member.replica === replica);
 	}
 
-	#peerOf(replica: string): PeerProgress {
+	#getPeerProgress(replica: string): PeerProgress {
 		let peer = this.#peers.get(replica);
 		if (!peer) {
 			peer = {
@@ -884,7 +895,7 @@
 		return peer;
 	}
 
-	#matchIndexOf(replica: string): number {
+	#getMatchIndex(replica: string): number {
 		if (replica === this.id) {
 			return this.#safeguards.syncBeforeReply ? this.#syncedIndex : this.#log.lastIndex;
 		}
@@ -892,11 +903,11 @@
 		return this.#peers.get(replica)?.matchIndex ?? 0;
 	}
 
-	#confirmedMs(replica: string, nowMs: number): number {
+	#getConfirmedMs(replica: string, nowMs: number): number {
 		return replica === this.id ? nowMs : this.#peers.get(replica)?.confirmedMs ?? Number.NEGATIVE_INFINITY;
 	}
 
-	#confirmedRound(replica: string): number {
+	#getConfirmedRound(replica: string): number {
 		return replica === this.id ? this.#round : this.#peers.get(replica)?.round ?? 0;
 	}
 }
