--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -1,8 +1,9 @@
 /**
- * What the entry hosts know together: backend servers, each other, and requests that crash servers.
+ * The facts that entry hosts share by gossip: backend servers, entry hosts, and requests that crash engines.
  *
- * Facts are merged by rules that do not depend on the order of arrival, and spread as rumors: what is urgent first,
- * load reports as far as the budget of bytes allows.
+ * The result of merging facts does not depend on the order in which they arrive. Facts spread by rumor mongering:
+ * each host forwards what is new to it a limited number of times. Urgent facts go first; load reports fill the rest of
+ * a message's byte budget.
  *
  * @module
  */
@@ -11,30 +12,37 @@
 	Announcement, Fact, HostFact, Peer, PoisonFact,
 } from '../generated/types.js';
 
-/** How a merge changed what is known. */
+/**
+ * The result of merging a fact: `none` if it was known or outdated, `refresh` if only its sequence number or load
+ * report is new, `urgent` if anything else changed.
+ */
 export const FACT_MERGE_RESULTS = {none: 'none', refresh: 'refresh', urgent: 'urgent'} as const;
 export type FactMergeResult = keyof typeof FACT_MERGE_RESULTS;
 
 export type ServerRecord = {
 	readonly announcement: Announcement;
-	/** Monotonic time of the last newer announcement, milliseconds. */
+	/** Monotonic time at which the latest announcement was received, milliseconds. */
 	readonly receivedMs: number;
 };
 
+/** A fact that is still being forwarded. */
 type Rumor = {
 	readonly fact: Fact;
 	readonly urgent: boolean;
+	/** Number of messages that will still carry the fact. */
 	remaining: number;
 };
 
+/** Servers without a newer announcement for this long are no longer listed. */
 export const SERVER_TIMEOUT_MS = 180_000;
 const POISON_RETENTION_MS = 3_600_000;
 const MAX_POISON_FACTS = 2000;
+/** Urgent facts are forwarded this many times for each doubling of the number of hosts, other facts once. */
 const REPEATS_PER_DOUBLING = 2;
-/** Bytes around the facts of one gossip message. */
+/** Encoded size of a gossip message without its facts. */
 const MESSAGE_OVERHEAD_BYTES = 90;
 
-/** The facts one host knows. A step machine: time is handed in. */
+/** The facts held by one host. A state machine without I/O: the caller passes the current time. */
 export class Directory {
 	readonly #servers = new Map<string, ServerRecord>();
 	readonly #hosts = new Map<string, HostFact>();
@@ -46,7 +54,7 @@
 		this.#ownHost = ownHost;
 	}
 
-	/** Backend servers that are not silent for long; leaving ones are listed too. */
+	/** Lists the backend servers announced within the timeout, including those that are leaving. */
 	listServers(nowMs: number): Announcement[] {
 		const result: Announcement[] = [];
 		for (const {announcement, receivedMs} of this.#servers.values()) {
@@ -62,7 +70,7 @@
 		return this.#servers.get(server)?.announcement;
 	}
 
-	/** Entry hosts to gossip with. */
+	/** Lists the other entry hosts, except those that are leaving. */
 	listPeers(): Peer[] {
 		const peers: Peer[] = [];
 		for (const fact of this.#hosts.values()) {
@@ -82,7 +90,7 @@
 		return this.#poison.get(fingerprint);
 	}
 
-	/** Takes a fact in; what is news is spread further. */
+	/** Merges a fact and, if it is new, queues it for forwarding. */
 	merge(fact: Fact, nowMs: number): FactMergeResult {
 		const result = this.#mergeByType(fact, nowMs);
 		if (result !== FACT_MERGE_RESULTS.none) {
@@ -92,7 +100,10 @@
 		return result;
 	}
 
-	/** Takes the rumors for one message, urgent ones first, up to a number of bytes. */
+	/**
+	 * Dequeues the facts for one message, urgent ones first, up to a size in bytes. An urgent fact that exceeds the
+	 * size on its own is still returned, so that it cannot get stuck.
+	 */
 	takeRumors(maxBytes: number): Fact[] {
 		const rumors = [...this.#rumors].toSorted(([, a], [, b]) => Number(b.urgent) - Number(a.urgent) || b.remaining - a.remaining);
 		const facts: Fact[] = [];
@@ -113,7 +124,7 @@
 		return facts;
 	}
 
-	/** Checksum over what matters of all facts; load reports do not count. */
+	/** Computes a checksum over all facts. Load reports and sequence numbers are left out. */
 	digest(): number {
 		let sum = 0;
 		for (const fact of this.listFacts()) {
@@ -128,7 +139,7 @@
 		return [...servers, ...this.#hosts.values(), ...this.#poison.values()];
 	}
 
-	/** Forgets servers that have been silent for long. */
+	/** Removes servers without a newer announcement for twice the timeout. */
 	expire(nowMs: number): void {
 		for (const [server, {receivedMs}] of this.#servers) {
 			if (nowMs - receivedMs > SERVER_TIMEOUT_MS * 2) {
@@ -261,7 +272,7 @@
 	return JSON.stringify(essence);
 }
 
-// CBOR without records is close to JSON in size; JSON is cheaper to measure and slightly longer.
+// Messages are encoded as CBOR, but JSON is cheaper to produce here and only slightly longer.
 function estimateBytes(fact: Fact): number {
 	return JSON.stringify(fact).length;
 }
--- a/src/membership/discovery.ts
+++ b/src/membership/discovery.ts
@@ -1,24 +1,24 @@
 /**
- * The backend servers as an entry host sees them: what all control hosts it hears say, taken together.
+ * Server discovery of an entry host: merges the feeds of all control hosts.
  *
  * @module
  */
 import type {Announcement, Feed} from '../generated/types.js';
 import {ServerRegistry} from './registry.js';
 
-/** An entry host hears changes only, so silence towards itself means nothing. */
+/** Feeds carry only changes, so that an entry host receives nothing for a server is no sign that it is silent. */
 const TIMING = {silentAfterMs: Number.POSITIVE_INFINITY, forgetAfterMs: Number.POSITIVE_INFINITY};
 
-/** Which control hosts may be asked about silent servers now. */
+/** State of the connections to the control hosts. */
 export type ControlHostStatus = {
 	listLive(): string[];
 	isWarm(control: string): boolean;
 };
 
-/** The merged view of all feeds. */
+/** The backend servers, merged from all feeds. */
 export class ServerDiscovery {
 	readonly #registry = new ServerRegistry(TIMING);
-	/** For each control host, the servers it lists, and whether it hears them. */
+	/** For each control host, the servers it lists and whether they are up there: neither silent nor gone. */
 	readonly #claims = new Map<string, Map<string, boolean>>();
 	readonly #live: ControlHostStatus;
 
@@ -26,7 +26,7 @@
 		this.#live = live;
 	}
 
-	/** Takes a feed; true if it told something new. */
+	/** Merges a feed. Returns whether it contained server statuses or replaced all earlier ones. */
 	merge(feed: Feed, control: string, nowMs: number): boolean {
 		let claims = this.#claims.get(control);
 		if (!claims || feed.whole) {
@@ -42,14 +42,14 @@
 		return feed.whole || feed.sightings.length > 0;
 	}
 
-	/** Servers that take new work. */
+	/** Lists the servers that accept new work and are up according to at least one live, warm control host. */
 	listUsable(): Announcement[] {
 		const claims = this.#live.listLive()
 			.filter(control => this.#live.isWarm(control))
 			.map(control => this.#claims.get(control))
 			.filter(claim => claim !== undefined);
 		const usable = this.#registry.listUsable();
-		// Without a control host that knows, the last view goes on.
+		// While no control host is both live and warm, the last known servers stay in use.
 		return claims.length === 0 ? usable : usable.filter(({server}) => claims.some(claim => claim.get(server) === true));
 	}
 
--- a/src/membership/feed.ts
+++ b/src/membership/feed.ts
@@ -1,8 +1,10 @@
 /**
- * What control hosts know, pushed to every host that subscribes: the publication, backend servers, control hosts.
+ * The feed: control hosts push the publication, the status of backend servers, and the list of control hosts to
+ * every subscribed host.
  *
- * Every entry host subscribes to every control host, so that a server that leaves or a new publication is known
- * everywhere one network trip after any control host learned of it, whichever of them is down or cut off.
+ * Every entry host subscribes to every control host. A new publication or a server that deregisters thus reaches all
+ * entry hosts within one network round after any control host learns of it, even if other control hosts are down or
+ * partitioned.
  *
  * @module
  */
@@ -18,14 +20,18 @@
 import {connect, type Address, type Connection} from '../wire/connection.js';
 import type {ServerRegistry} from './registry.js';
 
-/** Sign of life; a subscriber gives a connection up after four missed ones. */
+/** Interval of heartbeats in both directions. A subscriber drops a connection after four missed ones. */
 export const FEED_INTERVAL_MS = 300;
 const SILENCE_LIMIT_MS = 1200;
-/** Changes within this time share one feed. */
+/** Changes within this time are sent in one feed message. */
 const COALESCE_MS = 5;
-/** A publication waits while this much is on its way, so that a storm of them sends only the last. */
+/**
+ * No publication is sent while this much unsent data is buffered on the connection. When publications arrive in quick
+ * succession, a slow subscriber thus receives only the latest.
+ */
 const MAX_BUFFERED_BYTES = 32 * 1024;
 
+/** A publication in its published form: JSON text. */
 export type PublicationText = {
 	readonly version: number;
 	readonly body: string;
@@ -44,13 +50,15 @@
 type Subscriber = {
 	readonly host: string;
 	readonly role: Watch['role'];
+	/** Version of the latest publication it holds or was sent. */
 	version: number;
+	/** Revision of the server registry up to which changes were sent. */
 	revision: number;
 	isNew: boolean;
 	heardMs: number;
 };
 
-/** The publishing side, on a control host. Whoever created it closes it. */
+/** Publishes the feed of a control host. Its creator must close it. */
 export class FeedPublisher {
 	readonly #options: FeedPublisherOptions;
 	readonly #subscribers = new Map<Connection, Subscriber>();
@@ -65,7 +73,7 @@
 		}, FEED_INTERVAL_MS);
 	}
 
-	/** Entry hosts that are subscribed. */
+	/** Number of subscribed entry hosts. */
 	get entryHostCount(): number {
 		const hosts = new Set<string>();
 		for (const {host, role} of this.#subscribers.values()) {
@@ -77,6 +85,7 @@
 		return hosts.size;
 	}
 
+	/** Subscribes the connection, or records a heartbeat of an existing subscriber. */
 	handleWatch(message: Watch, connection: Connection): void {
 		const known = this.#subscribers.get(connection);
 		if (known) {
@@ -94,7 +103,7 @@
 		this.notify();
 	}
 
-	/** Tells that something has changed; it is pushed within a few milliseconds. */
+	/** Schedules a push of what has changed, within a few milliseconds. */
 	notify(): void {
 		this.#pending ??= setTimeout(() => {
 			this.#pending = undefined;
@@ -156,7 +165,7 @@
 }
 
 /**
- * Unpacks the publication of a feed.
+ * Decompresses the publication in a feed message.
  *
  * @example
  * ```ts
@@ -171,18 +180,19 @@
 	readonly host: string;
 	readonly dataCentre: string;
 	readonly role: Watch['role'];
-	/** Control hosts told at the start; they are never forgotten. */
+	/** Control hosts from the settings. They are never removed. */
 	readonly seeds: readonly Address[];
 	readonly clock: Clock;
 	readonly logger: Logger;
-	/** Version of the publication held. */
+	/** Returns the version of the publication held. */
 	readonly readVersion: () => number;
 	readonly onFeed: (feed: Feed, control: string) => void;
-	/** Called with any other message that a control host sends. */
+	/** Called with every message from a control host that is not a feed. */
 	readonly onMessage?: (message: Message, control: string) => void;
 	readonly onDisconnect?: (control: string) => void;
 };
 
+/** A control host to subscribe to. */
 type Source = {
 	readonly address: Address;
 	connection: Connection | undefined;
@@ -190,14 +200,14 @@
 	heardMs: number;
 	hasQuorum: boolean;
 	isWarm: boolean;
-	/** When it was last named as a control host, or told at the start. */
+	/** Monotonic time at which a feed or the settings last listed this control host, milliseconds. */
 	namedMs: number;
 };
 
-/** A control host that is not named any more is forgotten after this time. */
+/** Time after which a control host that no feed lists any more is removed. */
 const FORGET_MS = 60_000;
 
-/** The subscribing side: one connection to every control host heard of. Whoever created it closes it. */
+/** Subscribes to the feeds of all known control hosts, one connection each. Its creator must close it. */
 export class FeedSubscription {
 	readonly #options: FeedSubscriptionOptions;
 	readonly #sources = new Map<string, Source>();
@@ -214,7 +224,7 @@
 		this.#tick();
 	}
 
-	/** Takes control hosts that the settings name now; earlier ones stay known. */
+	/** Adds control hosts from the settings. Earlier seeds are kept. */
 	addSeeds(seeds: readonly Address[]): void {
 		for (const seed of seeds) {
 			this.#told.add(toKey(seed));
@@ -222,12 +232,12 @@
 		}
 	}
 
-	/** Control hosts heard of, live or not. */
+	/** Lists the addresses of all known control hosts, reachable or not. */
 	listAddresses(): Address[] {
 		return [...this.#sources.values()].map(source => source.address);
 	}
 
-	/** Control hosts that were heard a moment ago and had a majority then, in the same order on every host. */
+	/** Lists the control hosts that recently sent a feed and had a majority then, in the same order on every host. */
 	listLive(): string[] {
 		const nowMs = this.#options.clock.monotonicMs();
 		const live: string[] = [];
@@ -240,11 +250,12 @@
 		return live.toSorted();
 	}
 
+	/** Whether a control host has run long enough to have received an announcement of every live server. */
 	isWarm(control: string): boolean {
 		return this.#sources.get(control)?.isWarm ?? false;
 	}
 
-	/** Sends a message to one control host; false if there is no connection to it. */
+	/** Sends a message to one control host. Returns false if there is no open connection to it. */
 	send(control: string, message: Message): boolean {
 		const connection = this.#sources.get(control)?.connection;
 		if (!connection?.isOpen) {
@@ -293,7 +304,7 @@
 		connection.onClose(() => {
 			if (source.connection === connection && !this.#isClosed) {
 				if (source.hasQuorum) {
-					this.#options.logger.warn(`Lost control host ${key}.`, {control: key});
+					this.#options.logger.warn(`Connection to control host ${key} closed.`, {control: key});
 				}
 
 				source.hasQuorum = false;
@@ -312,7 +323,7 @@
 		const nowMs = this.#options.clock.monotonicMs();
 		source.heardMs = nowMs;
 		if (source.hasQuorum !== message.hasQuorum) {
-			this.#options.logger.info(`Control host ${key} ${message.hasQuorum ? 'has' : 'has lost'} its majority.`, {control: key});
+			this.#options.logger.info(`Control host ${key} ${message.hasQuorum ? 'is' : 'is no longer'} connected to a majority of the control hosts.`, {control: key});
 		}
 
 		source.hasQuorum = message.hasQuorum;
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -1,5 +1,5 @@
 /**
- * The task that spreads facts between entry hosts.
+ * The background task that exchanges facts between entry hosts.
  *
  * @module
  */
@@ -15,27 +15,28 @@
 export type GossipOptions = {
 	readonly directory: Directory;
 	readonly self: Peer;
-	/** Where callers and operators reach this host. */
+	/** HTTP endpoint of this host for callers and operators. */
 	readonly http: Endpoint;
 	readonly dataCentre: string;
-	/** Rises with each start of this host. */
+	/** Increases with each start of this host. */
 	readonly incarnation: number;
 	readonly seeds: readonly Peer[];
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
-	/** Called for facts that came from another host. */
+	/** Called for each new fact received from another host. */
 	readonly onFact?: (fact: Fact) => void;
 };
 
 export const ROUND_INTERVAL_MS = 200;
+/** Number of hosts that receive facts in each round. */
 export const FANOUT = 2;
-/** Most bytes of rumors in one message: 5 rounds a second to 2 hosts stay below 5 KB/s. */
+/** Largest size of one message's facts. Five rounds per second to two hosts stay below 5 KB/s. */
 export const MAX_RUMOR_BYTES = 480;
 const COMPARE_EVERY_ROUNDS = 15;
 const REFRESH_EVERY_ROUNDS = 300;
 
-/** The running gossip of one host. Whoever started it closes it. */
+/** Runs the gossip protocol of one host. Its creator must close it. */
 export class GossipTask {
 	readonly #options: GossipOptions;
 	readonly #pool: ConnectionPool;
@@ -57,7 +58,7 @@
 		this.#compare(this.#choosePeers(FANOUT));
 	}
 
-	/** Spreads a fact that was learned here; an urgent one goes to every host at once. */
+	/** Merges a local fact and forwards it in the next rounds. With `toAll`, an urgent one is also sent to every host at once. */
 	publish(fact: Fact, toAll = false): void {
 		const result = this.#options.directory.merge(fact, this.#options.clock.monotonicMs());
 		if (toAll && result === FACT_MERGE_RESULTS.urgent) {
@@ -65,6 +66,7 @@
 		}
 	}
 
+	/** Merges the facts of a message. If the digests differ, both hosts exchange all their facts. */
 	receive(message: Gossip): void {
 		const {directory, clock} = this.#options;
 		const nowMs = clock.monotonicMs();
@@ -84,7 +86,7 @@
 		}
 	}
 
-	/** Tells everybody that this host leaves. */
+	/** Tells every host that this one is leaving. */
 	leave(): void {
 		this.#announceSelf(true);
 	}
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -1,25 +1,32 @@
 /**
- * The backend servers, as their announcements tell.
+ * The registry of backend servers, built from their announcements.
  *
- * Announcements arrive late, twice and out of order, so merging does not depend on their order: a later start of a
- * server replaces an earlier one, within a start the higher sequence wins, and leaving is for good. A step machine:
- * time is handed in.
+ * Announcements may arrive late, twice or out of order, so the result of a merge does not depend on their order: a
+ * higher incarnation replaces a lower one, within an incarnation the higher sequence number wins, and within an
+ * incarnation a server that is leaving stays so. A state machine without I/O: the caller passes the current time.
  *
  * @module
  */
 import type {Announcement, Sighting} from '../generated/types.js';
 
+/**
+ * The result of merging an announcement: `none` if it was outdated, `refresh` if only its sequence number or load is
+ * new, `change` if anything that affects routing changed.
+ */
 export const MERGE_RESULTS = {none: 'none', refresh: 'refresh', change: 'change'} as const;
 export type MergeResult = keyof typeof MERGE_RESULTS;
 
 export type RegistryTiming = {
-	/** Silence after which a server counts as silent, milliseconds. */
+	/** Time without an announcement after which a server is silent, milliseconds. */
 	readonly silentAfterMs: number;
-	/** Silence after which a server is forgotten, milliseconds. */
+	/** Time without an announcement after which a server is removed, milliseconds. */
 	readonly forgetAfterMs: number;
 };
 
-/** Five intervals of 1.2 s: announcements may be seconds late. A leave must outlive every delayed announcement. */
+/**
+ * A server is silent after five announcement intervals of 1.2 s, because announcements may be seconds late. Entries of
+ * deregistered servers must outlive every delayed announcement, which would otherwise revive the server.
+ */
 export const DEFAULT_REGISTRY_TIMING: RegistryTiming = {silentAfterMs: 6000, forgetAfterMs: 60_000};
 
 type Row = {
@@ -27,13 +34,13 @@
 	gone: boolean;
 	silent: boolean;
 	heardMs: number;
-	/** Revision of the last change of substance. */
+	/** Revision of the last change that affects routing. */
 	changed: number;
-	/** Revision of the last announcement. */
+	/** Revision of the last merged announcement. */
 	refreshed: number;
 };
 
-/** What one host knows of the backend servers. */
+/** The backend servers known to one host. */
 export class ServerRegistry {
 	readonly #rows = new Map<string, Row>();
 	readonly #timing: RegistryTiming;
@@ -43,7 +50,7 @@
 		this.#timing = timing;
 	}
 
-	/** Rises with every merge that was news. */
+	/** Increases with every merged announcement and every change of a status. */
 	get revision(): number {
 		return this.#revision;
 	}
@@ -57,7 +64,7 @@
 		return [...this.#rows.values()].map(row => toSighting(row));
 	}
 
-	/** Servers that take new work. */
+	/** Lists the servers that accept new work. */
 	listUsable(): Announcement[] {
 		const usable: Announcement[] = [];
 		for (const {announcement, gone, silent} of this.#rows.values()) {
@@ -69,7 +76,7 @@
 		return usable;
 	}
 
-	/** What changed after a revision; with `refreshes`, also servers that only announced themselves again. */
+	/** Lists the servers that changed after a revision and, with `refreshes`, those that only announced themselves again. */
 	listChangedSince(revision: number, refreshes: boolean): Sighting[] {
 		const result: Sighting[] = [];
 		for (const row of this.#rows.values()) {
@@ -81,7 +88,7 @@
 		return result;
 	}
 
-	/** Takes an announcement, from the server itself or from another host. */
+	/** Merges an announcement that came from the server itself or from another host. */
 	merge(announcement: Announcement, nowMs: number): MergeResult {
 		const known = this.#rows.get(announcement.server);
 		if (known && !isNewer(announcement, known.announcement)) {
@@ -112,7 +119,10 @@
 		return isChange ? MERGE_RESULTS.change : MERGE_RESULTS.refresh;
 	}
 
-	/** Takes what another host knows; its silence counts for nothing here, its goodbye does. */
+	/**
+	 * Merges the status of a server on another host. That the server is silent there is ignored, because its
+	 * announcements may still arrive here; that it has deregistered counts here, too.
+	 */
 	mergeStatus({announcement, gone, silent}: Sighting, nowMs: number): MergeResult {
 		const merge = silent ? MERGE_RESULTS.none : this.merge(announcement, nowMs);
 		const known = this.#rows.get(announcement.server);
@@ -123,7 +133,7 @@
 		return merge;
 	}
 
-	/** Notes that a server takes its leave; true if it was known and had not. */
+	/** Marks a server as gone. Returns false if it is unknown or already gone. */
 	deregister(server: string): boolean {
 		const known = this.#rows.get(server);
 		if (!known || known.gone) {
@@ -135,7 +145,7 @@
 		return true;
 	}
 
-	/** Marks servers that have been silent for long and forgets the ones that stay away; returns the newly silent. */
+	/** Marks servers as silent or removes them, by the time since their last announcement. Returns the newly silent ones. */
 	expire(nowMs: number): string[] {
 		const silenced: string[] = [];
 		for (const [server, row] of this.#rows) {
@@ -152,7 +162,10 @@
 		return silenced;
 	}
 
-	/** An address belongs to the server that started there last; false if that is another one. */
+	/**
+	 * Assigns the announced address to its server and deregisters older servers at that address. Returns false if a
+	 * server with a higher incarnation has the address.
+	 */
 	#claimAddress(announcement: Announcement): boolean {
 		for (const row of this.#rows.values()) {
 			const other = row.announcement;
@@ -176,7 +189,7 @@
 		|| (announcement.incarnation === known.incarnation && announcement.sequence > known.sequence);
 }
 
-/** Whether two announcements differ in nothing that decides where work goes. */
+/** Whether two announcements agree in all fields that affect routing. */
 function isSameEssence(a: Announcement, b: Announcement): boolean {
 	return a.incarnation === b.incarnation
 		&& a.address === b.address
