--- a/src/entry/completion.ts
+++ b/src/entry/completion.ts
@@ -1,5 +1,5 @@
 /**
- * Completions as OpenAI's API words them: checking requests, writing answers whole or as a stream.
+ * Completions in the format of OpenAI's API: parses requests, writes responses as one document or as a stream.
  *
  * @module
  */
@@ -12,18 +12,18 @@
 export const APIS = {chat: 'chat', text: 'text'} as const;
 export type Api = keyof typeof APIS;
 
-/** A checked request for a completion. */
+/** A valid request for a completion. */
 export type CompletionRequest = {
 	readonly api: Api;
 	readonly model: string;
 	readonly isStream: boolean;
 	readonly includesUsage: boolean;
 	readonly maxTokens: number | undefined;
-	/** The prompt as one text, for estimates and prefix hashes. */
+	/** The prompt as one string, for estimates and prefix hashes. */
 	readonly prompt: string;
-	/** The same request has the same fingerprint, through whichever host it comes. */
+	/** Hash of the request. It is the same on every entry host. */
 	readonly fingerprint: string;
-	/** What goes to the engine, without the fields that concern only the caller. */
+	/** The body for the engine, which always streams with usage, whatever the caller asked for. */
 	readonly body: Readonly<Record<string, unknown>>;
 };
 
@@ -34,7 +34,7 @@
 };
 
 /**
- * Checks a request's body.
+ * Parses and checks the body of a request.
  *
  * @example
  * ```ts
@@ -80,12 +80,13 @@
 	});
 }
 
-/** Writes an answer to the caller as it comes. */
+/** Writes the response to the caller while tokens arrive from the engine. */
 export interface ResponseWriter {
-	/** Takes one token. */
+	/** Buffers one token. */
 	writeToken(text: string): void;
-	/** Sends what was taken since the last call; false if the caller does not keep up. */
+	/** Sends the buffered tokens. Returns false if the caller reads too slowly. */
 	flush(): boolean;
+	/** Sends what is left of the response and ends it. */
 	complete(finishReason: string, usage: Usage): void;
 }
 
@@ -96,9 +97,10 @@
 	readonly response: ServerResponse;
 };
 
+/** A stream with more unsent data than this has a caller that reads too slowly. */
 const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
-/** Writes an answer as one JSON document. */
+/** Writes the response as one JSON document. */
 export class JsonWriter implements ResponseWriter {
 	readonly #options: WriterOptions;
 	#text = '';
@@ -135,19 +137,19 @@
 	}
 }
 
-/** Writes an answer as server-sent events. */
+/** Writes the response as server-sent events. */
 export class EventStreamWriter implements ResponseWriter {
 	readonly #options: WriterOptions;
 	readonly #head: string;
 	#hasStarted = false;
-	/** Events that go out together: one write costs as much as many events. */
+	/** Events to be sent in one write, because a write costs as much as many events. */
 	#batch = '';
 
 	constructor(options: WriterOptions) {
 		this.#options = options;
 		const {id, request, createdSeconds} = options;
 		const object = request.api === APIS.chat ? 'chat.completion.chunk' : 'text_completion';
-		// The part that all events share is written once: only the token differs.
+		// All events share this part, so it is serialized only once.
 		this.#head = `data: ${JSON.stringify({
 			id, object, created: createdSeconds, model: request.model,
 		}).slice(0, -1)},"choices":[`;
--- a/src/entry/engine.ts
+++ b/src/entry/engine.ts
@@ -1,7 +1,8 @@
 /**
- * One attempt at a model engine: sends the request, checks every event of the answer, and says how it ended.
+ * One attempt at a model engine: sends the request, checks every event of the response, and reports the result.
  *
- * A connection whose attempt did not end whole is destroyed, so that a late answer finds no reader.
+ * The connection of an attempt that did not complete is destroyed, so that a late response cannot be read as the
+ * response to another request.
  *
  * @module
  */
@@ -13,38 +14,38 @@
 /** How an attempt ended. */
 export type AttemptResult
 	= | {readonly type: 'complete'; readonly finishReason: string; readonly promptTokens: number; readonly cachedTokens: number | undefined; readonly handoff: string | undefined}
-	/** The engine refused before running it. */
+	/** The engine refused the request before running it. */
 		| {readonly type: 'refused'; readonly status: number; readonly text: string}
-	/** The request itself is wrong. */
+	/** The request itself is invalid. */
 		| {readonly type: 'rejected'; readonly status: number; readonly text: string}
-	/** No connection could be made. */
+	/** No connection could be opened. */
 		| {readonly type: 'unreachable'}
-	/** No event came in time. */
+	/** No event arrived in time. */
 		| {readonly type: 'silent'}
-	/** The connection broke before the end. */
+	/** The connection closed before the response was complete. */
 		| {readonly type: 'broken'}
-	/** The answer belongs to another request or has a gap. */
+	/** The response belongs to another request, skips or repeats a token, or cannot be parsed. */
 		| {readonly type: 'mismatch'; readonly text: string}
 		| {readonly type: 'cancelled'};
 
 export type AttemptOptions = {
-	/** Identity that the engine must echo. */
+	/** Sent as the request ID. The engine must repeat it in every event. */
 	readonly id: string;
 	readonly path: string;
 	readonly body: Readonly<Record<string, unknown>>;
-	/** Tokens that the caller already has. */
+	/** Number of tokens that the caller already has. */
 	readonly offset: number;
-	/** Longest wait for the first event, milliseconds. */
+	/** Maximum wait for the first event, milliseconds. */
 	readonly firstEventTimeoutMs: number;
-	/** Longest wait between two events, milliseconds. */
+	/** Maximum wait between two events, milliseconds. */
 	readonly eventTimeoutMs: number;
-	/** Whether to open a new connection rather than take a pooled one. */
+	/** Whether to open a new connection instead of using a pooled one. */
 	readonly usesNewConnection: boolean;
 	readonly priority: number;
 	readonly onToken: (text: string) => void;
-	/** Called when all events that arrived together were taken. */
+	/** Called after all events that arrived together were processed. */
 	readonly onBatchEnd: () => void;
-	/** Takes the engine's load, which stands in the head of its answer. */
+	/** Called with the engine's load, which is in the headers of its response. */
 	readonly onLoad: (load: string) => void;
 };
 
@@ -57,7 +58,7 @@
 		readonly finish_reason?: string | null;
 	}>;
 	readonly usage?: {readonly prompt_tokens?: number; readonly prompt_tokens_details?: {readonly cached_tokens?: number}} | null;
-	/** Handle of the KV cache that another engine may import. */
+	/** Handle of the KV cache, for the engine that imports it. */
 	readonly handoff?: string;
 };
 
@@ -71,7 +72,7 @@
 const MAX_ERROR_CHARACTERS = 2000;
 const REFUSED_STATUSES = new Set([409, 429, 503]);
 
-/** Connections to engines. Whoever created it closes it. */
+/** HTTP client for engines, with a connection pool. Its creator must close it. */
 export class EngineClient {
 	readonly #agent = new Agent({
 		pipelining: 1,
@@ -128,7 +129,7 @@
 }
 
 /**
- * Writes an IP number as the host of a URL.
+ * Formats an IP address as the host of a URL.
  *
  * @example
  * ```ts
@@ -143,7 +144,7 @@
 	return new Client(origin, {connect: {timeout: CONNECT_TIMEOUT_MS}, headersTimeout: 0, bodyTimeout: 0});
 }
 
-/** Takes the events of one exchange as undici delivers them. */
+/** Handles the response to one attempt as undici delivers it. */
 class AttemptHandler implements Dispatcher.DispatchHandler {
 	readonly result: Promise<AttemptResult>;
 	readonly #attempt: AttemptOptions;
@@ -272,7 +273,7 @@
 		try {
 			event = JSON.parse(data) as EngineEvent;
 		} catch {
-			this.finish({type: 'mismatch', text: 'An event is not JSON.'});
+			this.finish({type: 'mismatch', text: 'An event is not valid JSON.'});
 			return;
 		}
 
@@ -281,7 +282,7 @@
 
 	#takeEvent(event: EngineEvent): void {
 		if (event.id !== this.#attempt.id) {
-			this.finish({type: 'mismatch', text: `The answer is for ${event.id ?? 'nobody'}.`});
+			this.finish({type: 'mismatch', text: `The response belongs to request ${event.id ?? '(none)'}.`});
 			return;
 		}
 
--- a/src/entry/exchange.ts
+++ b/src/entry/exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One exchange with a caller or operator over HTTP: reading the body within limits, answering, refusing.
+ * One HTTP exchange with a caller or operator: reads the request body within limits, sends responses and errors.
  *
  * @module
  */
@@ -8,6 +8,7 @@
 import * as Either from 'fp-ts/lib/Either.js';
 import {createProblem, type Problem} from '../base/problem.js';
 
+/** A request and its response. */
 export type Exchange = {
 	readonly id: string;
 	readonly request: IncomingMessage;
@@ -23,7 +24,7 @@
 };
 
 /**
- * Reads a request's body; too long or too slow a one is a problem.
+ * Reads the body of a request. Fails if it exceeds the size or time limit.
  *
  * @example
  * ```ts
@@ -92,7 +93,7 @@
 }
 
 /**
- * Answers with JSON.
+ * Sends a JSON response, unless a response was sent already.
  *
  * @example
  * ```ts
@@ -115,7 +116,7 @@
 }
 
 /**
- * Refuses with a numbered problem: in the headers and in a body of the shape that OpenAI's API uses.
+ * Sends an error: its code and outcome in headers, and a body in the format of OpenAI's API.
  *
  * @example
  * ```ts
@@ -131,7 +132,7 @@
 		headers['retry-after'] = String(problem.retryAfterSeconds);
 	}
 
-	// What is left of a body that was not read must not be taken for the next request.
+	// The unread rest of the body must not be parsed as the next request.
 	if (!exchange.request.complete) {
 		headers.connection = 'close';
 	}
@@ -143,7 +144,7 @@
 }
 
 /**
- * Creates the body of a refusal.
+ * Creates the body of an error response.
  *
  * @example
  * ```ts
@@ -164,7 +165,7 @@
 }
 
 /**
- * Reads one header; of a repeated one the first.
+ * Returns the value of a header; the first one if it is repeated.
  *
  * @example
  * ```ts
--- a/src/entry/journal.ts
+++ b/src/entry/journal.ts
@@ -1,10 +1,10 @@
 /**
- * What happened to each request, kept for a while so that it can be told.
+ * Records what happened to the latest requests, so that operators can ask for an explanation.
  *
  * @module
  */
 export type JournalStep = {
-	/** Wall clock, milliseconds. */
+	/** Wall clock time, milliseconds. */
 	readonly at: number;
 	readonly text: string;
 };
@@ -20,7 +20,7 @@
 const MAX_ENTRIES = 5000;
 const MAX_STEPS = 60;
 
-/** The latest requests of one host. */
+/** The latest requests of one host, in memory. */
 export class RequestJournal {
 	readonly #entries = new Map<string, JournalEntry>();
 
--- a/src/entry/metrics.ts
+++ b/src/entry/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics of one process in Prometheus' format.
+ * Metrics of one process, exported in the Prometheus format.
  *
  * @module
  */
@@ -12,9 +12,9 @@
 export type Metrics = ReturnType<typeof createMetrics>;
 
 /**
- * Creates the metrics and the registry that prints them.
+ * Creates the metrics and the registry that exports them.
  *
- * @param readViewAgeMs - Asked whenever the metrics are read.
+ * @param readViewAgeMs - Called whenever the metrics are collected.
  * @example
  * ```ts
  * const metrics = createMetrics();
--- a/src/entry/model.ts
+++ b/src/entry/model.ts
@@ -1,5 +1,5 @@
 /**
- * Serves completions: admission, choice of an engine, attempts, resuming, and the final answer.
+ * Serves completions: admits requests, chooses engines, retries and resumes failed attempts, and writes the response.
  *
  * @module
  */
@@ -47,13 +47,13 @@
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
-	/** Tells every entry host at once. */
+	/** Sends a fact to every entry host at once. */
 	readonly broadcast: (fact: Fact) => void;
-	/** Called for each finished request, for the capture of traces. */
+	/** Called for each finished request, to capture traces. */
 	readonly onFinished?: (record: FinishedRequest) => void;
 };
 
-/** Sizes and times of a finished request. */
+/** Start, sizes and outcome of a finished request, as written to the capture file. */
 export type FinishedRequest = {
 	readonly startedAt: number;
 	readonly model: string;
@@ -71,24 +71,24 @@
 const MAX_ATTEMPTS = 12;
 const RETRY_PAUSE_MS = 50;
 const QUARANTINE_PAUSE_MS = 60;
-/** Tokens beyond the point of the crash after which a suspect counts as innocent. */
+/** A suspected request is cleared once it has produced this many tokens more than it had at the crash. */
 const CLEARING_TOKENS = 4;
 const DEFAULT_OUTPUT_TOKENS = 200;
 const LIKELY_SHARE_OF_LIMIT = 0.6;
 const PROBE_TIMEOUT_MS = 400;
-/** A dying process may accept a connection for some milliseconds more; one that keeps it open this long is alive. */
+/** An engine is alive if it keeps a connection open this long. A dying process may still accept one for some milliseconds. */
 const PROBE_HOLD_MS = 100;
-/** When an engine whose connection broke is looked at once more: a crash may show late, or as a new start. */
+/** Delay before an engine whose connection broke is probed again: a crash may show late, or only as a restart. */
 const SECOND_LOOK_MS = 500;
 const PUMP_MS = 250;
 const PRIORITY = {interactive: 1, background: 0} as const;
 const ENGINE_PATHS = {chat: '/v1/chat/completions', text: '/v1/completions'} as const;
 
-/** Serves the requests for models of one entry host. Whoever created it closes it. */
+/** Serves the requests for models on one entry host. Its creator must close it. */
 export class ModelHandler {
 	readonly #options: ModelHandlerOptions;
 	readonly #budget = new RetryBudget();
-	/** Margins of work that is mostly prompt and of other work. */
+	/** Margins for requests that are mostly prefill work and for all others. */
 	readonly #margins = {prefill: new PromiseMargin(), decode: new PromiseMargin()};
 	readonly #admissions = new Map<string, Admission>();
 	readonly #waiting = new Map<string, (event: AdmissionEvent) => void>();
@@ -113,7 +113,7 @@
 		return this.#budget;
 	}
 
-	/** Serves one request to its end. */
+	/** Serves one request. */
 	async handle(api: Api, exchange: Exchange, body: Buffer): Promise<void> {
 		const request = Either.flatMap((parsed: Record<string, unknown>) => parseCompletionRequest(api, parsed))(parseJson(body));
 		if (Either.isLeft(request)) {
@@ -125,7 +125,7 @@
 		await run.serve();
 	}
 
-	/** Waits for admission; the problem says why it was refused. */
+	/** Waits for admission. Returns a problem if it is refused. */
 	async admit(id: string, request: CompletionRequest, shape: RequestShape, limits: {team: string; startByMs: number}): Promise<Problem | undefined> {
 		const {view, pool, clock} = this.#options;
 		const team = view.get('team', limits.team)?.specification as Team | undefined;
@@ -149,7 +149,7 @@
 		return createProblem(event.reason === 'team' ? 'teamLimit' : 'noCapacity', undefined, event.retryAfterSeconds);
 	}
 
-	/** Ends a request's share of the admission. */
+	/** Withdraws a request from admission, whether it is waiting or running. */
 	release(id: string, model: string): void {
 		const {pool, clock} = this.#options;
 		this.#dispatch([{
@@ -194,13 +194,13 @@
 	}
 }
 
-/** What an attempt's end means for the next one. */
+/** What to do after an attempt. */
 type NextStep
 	= | {readonly type: 'done'}
 		| {readonly type: 'fail'; readonly problem: Problem}
 		| {readonly type: 'again'; readonly sameServer: boolean; readonly reason: string; readonly pauseMs: number};
 
-/** One request on its way through attempts. */
+/** Runs one request, in as many attempts as needed. */
 class ModelRun {
 	readonly #handler: ModelHandler;
 	readonly #exchange: Exchange;
@@ -210,7 +210,7 @@
 	readonly #startedMs: number;
 	readonly #deadlineMs: number;
 	readonly #excluded = new Set<string>();
-	/** Engines whose connection broke while they stayed alive. */
+	/** Engines whose connection broke although they stayed alive. */
 	readonly #brokenAt = new Set<string>();
 	readonly #team: string;
 	#delivered = '';
@@ -222,9 +222,9 @@
 	#quarantineLock: QuarantineLock | undefined;
 	#crashTokens = 0;
 	#fresh: string | undefined;
-	/** Target to the first token that the caller set, milliseconds. */
+	/** Time to first token that the caller demands, milliseconds. */
 	readonly #firstTokenMs: number | undefined;
-	/** Time to the first token that counts as on time, milliseconds. */
+	/** Time to first token up to which the request counts as on time, milliseconds. */
 	readonly #targetMs: number;
 	#handsOff = false;
 	#isFirstOfAttempt = true;
@@ -384,7 +384,7 @@
 		return placement?.first;
 	}
 
-	/** Work that will surely come late is refused at once, if the caller has said what late is. */
+	/** Rejects a request whose first token is expected later than the caller demands. */
 	#judgePromise(decision: Decision): Problem | undefined {
 		if (this.#firstTokenMs === undefined || this.#tokens > 0) {
 			return undefined;
@@ -423,7 +423,7 @@
 	#logDecision(decision: Decision): void {
 		const {logger} = this.#handler.options;
 		const considered = decision.considered.map(({server, totalMs}) => `${server}:${Math.round(totalMs)}`);
-		logger.info(`Sends request to ${decision.server}.`, {
+		logger.info(`Sending request to ${decision.server}.`, {
 			request: this.#exchange.id, server: decision.server, reason: decision.reason, attempt: this.#attempts, considered,
 		});
 		this.#note(`Attempt ${this.#attempts} goes to engine ${decision.server} (${decision.reason}; ${considered.length} engines compared, expected first token in ${Math.round(decision.cost.firstTokenMs)} ms).`);
@@ -582,7 +582,7 @@
 		}
 	}
 
-	/** The prompt is computed; another engine takes its KV cache and goes on. */
+	/** Prepares the next attempt, at an engine that imports the KV cache of the prefilled prompt and decodes. */
 	#onHandoff(handle: string, server: Announcement): NextStep {
 		this.#handsOff = false;
 		this.#import = {address: server.address, port: server.port, handle};
@@ -600,7 +600,7 @@
 		}
 	}
 
-	/** A connection may have gone silent while the server is well: a new one to the same server goes first. */
+	/** Retries at the same engine over a new connection first, because the connection may be dead while the engine is healthy. */
 	#onSilent(server: Announcement, wasFresh: boolean, reason: string): NextStep {
 		this.#note(`Nothing usable came from engine ${server.server} on ${wasFresh ? 'a new' : 'an open'} connection (${reason}).`);
 		if (wasFresh) {
@@ -638,7 +638,7 @@
 		};
 	}
 
-	/** A second look at an engine that seemed to be alive after its connection broke. */
+	/** Probes an engine again that seemed alive after its connection broke. */
 	async #lookAgain(server: Announcement): Promise<void> {
 		await pause(SECOND_LOOK_MS);
 		const current = this.#handler.options.pool.findServer(server.server) ?? server;
@@ -652,7 +652,7 @@
 		this.#publishPoison({servers: [`${server}#${incarnation}`]});
 	}
 
-	/** Tells every entry host what is known of the servers that died while they ran this request. */
+	/** Tells every entry host which engines crashed while they ran this request. */
 	#publishPoison({servers, acquitted = []}: CrashRecord): void {
 		const {broadcast, clock} = this.#handler.options;
 		broadcast({
@@ -660,7 +660,7 @@
 		});
 	}
 
-	/** One broken connection may be the network's fault; a second one at the same engine is held against it. */
+	/** Excludes an engine at its second broken connection. The first one may be a network failure. */
 	#blameRepeatedBreaks(server: Announcement): void {
 		if (this.#brokenAt.has(server.server)) {
 			this.#excluded.add(server.server);
@@ -698,7 +698,7 @@
 		}
 
 		this.#writer.flush();
-		// The stream has begun: an error event, and no end marker, tell that the answer is not whole.
+		// The stream has started, so an error event without an end marker tells the caller that it is incomplete.
 		response.end(`data: ${JSON.stringify({error: {message: problem.text, type: 'server_error', code: problem.code}})}\n\n`);
 	}
 
@@ -730,7 +730,7 @@
 	}
 }
 
-/** Tells whether a server accepts a connection and keeps it. */
+/** Whether a server accepts a connection and keeps it open. */
 async function probe(server: Announcement): Promise<boolean> {
 	return new Promise(resolve => {
 		const socket = net.connect({host: server.address, port: server.port});
@@ -754,7 +754,7 @@
 		socket.once('error', () => {
 			finish(false);
 		});
-		// Data flows only so that the end of the connection is seen.
+		// Without reading, the end of the connection would not be noticed.
 		socket.resume();
 	});
 }
--- a/src/entry/operator.ts
+++ b/src/entry/operator.ts
@@ -1,5 +1,6 @@
 /**
- * The operators' resource API: list, get, put with the version seen, delete, watch, control replicas, stories.
+ * The operators' HTTP API: reads, writes, deletes and watches resources, reports status, manages the control replicas,
+ * and explains what happened to a request or a planned change. Writes name the version they are based on.
  *
  * @module
  */
@@ -33,13 +34,13 @@
 	readonly clock: Clock;
 };
 
-/** Path under which the API stands. */
+/** Prefix of all paths of the API. */
 export const OPERATOR_PATH_PREFIX = '/api/v1/';
 const KINDS = new Set(['service', 'model', 'engine', 'team', 'policy', 'change']);
 const WATCH_HEARTBEAT_MS = 5000;
 const FORWARD_TIMEOUT_MS = 2000;
 
-/** Serves operators. */
+/** Handles requests of operators. */
 export class OperatorHandler {
 	readonly #options: OperatorHandlerOptions;
 
@@ -47,7 +48,7 @@
 		this.#options = options;
 	}
 
-	/** Serves one call to its end. */
+	/** Handles one request. */
 	async handle(exchange: Exchange, body: Buffer): Promise<void> {
 		const [collection, kind, name] = exchange.path.slice(OPERATOR_PATH_PREFIX.length).split('/').map(part => decodeURIComponent(part));
 		switch (collection) {
@@ -184,7 +185,7 @@
 		sendOutcome(exchange, proposed);
 	}
 
-	/** Streams every change since a version as a JSON line; each line's version is where to resume from. */
+	/** Streams all changes since a version, one JSON object per line. A watch resumes from the version of the last line. */
 	async #watch(exchange: Exchange): Promise<void> {
 		let from = Number(exchange.query.get('from') ?? -1);
 		if (!Number.isInteger(from) || from < -1) {
@@ -258,7 +259,7 @@
 		sendJson(exchange, 200, answer);
 	}
 
-	/** Tells the story of a request or a planned change. */
+	/** Sends the timeline of a request or a planned change. */
 	async #explain(exchange: Exchange, subject: string): Promise<void> {
 		const {journal} = this.#options;
 		const entry = journal.findEntry(subject);
@@ -284,7 +285,7 @@
 		sendJson(exchange, 200, story);
 	}
 
-	/** A request's identity begins with the host that served it. */
+	/** Asks the host that served a request for its timeline. A request ID starts with the name of that host. */
 	async #askHost(exchange: Exchange, subject: string): Promise<unknown> {
 		const fact = this.#options.directory.listHosts().find(host => subject.startsWith(`${host.peer.host}_`));
 		if (!fact?.http || fact.peer.host === this.#options.host) {
--- a/src/entry/plain.ts
+++ b/src/entry/plain.ts
@@ -1,5 +1,5 @@
 /**
- * One exchange with a plain backend server; tells exactly whether the work can have run.
+ * HTTP client for plain backend servers. Its results tell whether the server may have run the request.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 	readonly headers: Readonly<Record<string, string>>;
 	readonly body: Buffer;
 	readonly timeoutMs: number;
-	/** Whether it must go out on a connection opened for it. */
+	/** Whether to open a new connection instead of using a pooled one. */
 	readonly usesNewConnection: boolean;
 };
 
@@ -27,9 +27,9 @@
 
 export type PlainResult
 	= | {readonly type: 'answer'; readonly answer: PlainResponse}
-	/** No byte left, or the server says that it did not run it. */
+	/** The server did not run the request: no byte of it was sent, or the server says so. */
 		| {readonly type: 'not-run'; readonly text: string}
-	/** It may have run. */
+	/** The server may have run the request. */
 		| {readonly type: 'unknown'; readonly text: string};
 
 const CONNECT_TIMEOUT_MS = 1000;
@@ -37,7 +37,7 @@
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 const CONNECT_ERRORS = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH']);
 
-/** Connections to plain servers. Whoever created it closes it. */
+/** Sends requests to plain servers over a connection pool. Its creator must close it. */
 export class PlainClient {
 	readonly #agent = new Agent({
 		pipelining: 1,
@@ -49,7 +49,7 @@
 	});
 
 	/**
-	 * Sends a request once and reports how it ended.
+	 * Sends a request once and returns its result.
 	 *
 	 * @example
 	 * ```ts
@@ -82,6 +82,7 @@
 	}
 }
 
+/** Handles the response to one request as undici delivers it. */
 class PlainHandler implements Dispatcher.DispatchHandler {
 	readonly result: Promise<PlainResult>;
 	readonly #request: PlainRequest;
--- a/src/entry/pool.ts
+++ b/src/entry/pool.ts
@@ -1,5 +1,5 @@
 /**
- * The backend servers as an entry host may use them now: announced, not leaving, not changing, not suspected.
+ * The backend servers that an entry host may use now: announced, not leaving, not excluded by a planned change, healthy.
  *
  * @module
  */
@@ -17,9 +17,9 @@
 import type {Directory} from '../membership/directory.js';
 import type {ResourceView} from './view.js';
 
-/** Characters of a prompt for each token, as an estimate. */
+/** Estimated number of prompt characters per token. */
 export const CHARACTERS_PER_TOKEN = 4;
-/** KV tokens that one piece of an engine's capacity holds. */
+/** Number of tokens that one KV block of an engine's capacity holds. */
 export const TOKENS_PER_KV_BLOCK = 64;
 const DEFAULT_MAX_RUNNING = 64;
 const DEFAULT_PIECES = 1000;
@@ -32,7 +32,7 @@
 	readonly clock: Clock;
 };
 
-/** Joins what is known of the servers into candidates for the choice. */
+/** Combines the announcements, loads, health and cached prefixes of the servers into candidates for routing. */
 export class ServerPool {
 	readonly loads = new LoadTracker();
 	readonly prefixes = new PrefixIndex();
@@ -46,7 +46,7 @@
 		this.#options = options;
 	}
 
-	/** Takes news of a server in. */
+	/** Updates load and, when a server has restarted, health and cached prefixes from a new fact. */
 	handleFact(fact: Fact): void {
 		if (fact.type !== 'server') {
 			return;
@@ -64,7 +64,7 @@
 		}
 	}
 
-	/** Notes a request's work for the leader's choice of roles. */
+	/** Records the work of a request. The leader assigns the engines' roles by this demand. */
 	recordDemand(model: string, shape: {readonly promptTokens: number; readonly outputTokens: number}): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		let meter = this.#meters.get(model);
@@ -77,7 +77,7 @@
 		meter.note(prefillMs, decodeMs, nowMs);
 	}
 
-	/** Work that came in through this host, by model. */
+	/** Returns the recent demand for each model at this host. */
 	readDemand(): ModelDemand[] {
 		const nowMs = this.#options.clock.monotonicMs();
 		return [...this.#meters].map(([model, meter]) => ({model, ...meter.read(nowMs)}));
@@ -87,7 +87,7 @@
 		return this.#options.directory.findServer(server);
 	}
 
-	/** Engines that may take a request for a model. */
+	/** Lists the engines that may run a request for a model. */
 	listEngines(model: string, prompt: string, excluded: ReadonlySet<string>): Candidate[] {
 		const hashes = hashBlocks(prompt);
 		const engines = this.#listUsable(excluded, announcement => servesModel(announcement, model));
@@ -95,24 +95,24 @@
 		return engines.map(announcement => this.#createCandidate(announcement, hashes, homes.has(announcement.server)));
 	}
 
-	/** Plain servers that may take a call to a service. */
+	/** Lists the plain servers that may run a call to a service. */
 	listPlainServers(service: string, excluded: ReadonlySet<string>): Announcement[] {
 		return this.#listUsable(excluded, announcement => announcement.kind === 'plain' && (announcement.services ?? []).includes(service));
 	}
 
-	/** Models that some engine serves. */
+	/** Lists the models that at least one server serves. */
 	listModels(): string[] {
 		const servers = this.#options.directory.listServers(this.#options.clock.monotonicMs());
 		return [...new Set(servers.flatMap(announcement => announcement.models ?? []))].toSorted();
 	}
 
-	/** Tokens that all engines of a model hold. */
+	/** Computes the number of tokens that the KV caches of all usable engines of a model hold. */
 	computeCapacityTokens(model: string): number {
 		const servers = this.#listUsable(new Set(), announcement => servesModel(announcement, model));
 		return servers.reduce((sum, announcement) => sum + ((announcement.capacity ?? DEFAULT_PIECES) * TOKENS_PER_KV_BLOCK), 0);
 	}
 
-	/** Suspected servers come back into the choice when nothing else is left. */
+	/** Lists the wanted servers that are usable. Unhealthy ones are included only if there are no others. */
 	#listUsable(excluded: ReadonlySet<string>, isWanted: (announcement: Announcement) => boolean): Announcement[] {
 		const nowMs = this.#options.clock.monotonicMs();
 		const usable = this.#options.directory.listServers(nowMs).filter(announcement => announcement.leaving !== true
@@ -123,7 +123,7 @@
 		return healthy.length > 0 ? healthy : usable;
 	}
 
-	/** A prefix that was seen before is at home at one engine of each role. */
+	/** Finds the engines that own the longest known prefix of a prompt: one for each role. */
 	#findHomes(engines: readonly Announcement[], hashes: readonly number[]): Set<string> {
 		const homes = new Set<string>();
 		const deepest = hashes[this.prefixes.countSeen(hashes) - 1];
--- a/src/entry/quarantine.ts
+++ b/src/entry/quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * Runs suspected requests alone: one suspect at one server at a time, across all entry hosts.
+ * Locks that let at most one request suspected of crashing engines run at an engine, across all entry hosts.
  *
- * The lock is a claim in the ledger, so that a host that dies does not hold it for ever.
+ * A lock is a claim in the ledger, so that it does not outlive a host that crashes while holding it.
  *
  * @module
  */
@@ -17,17 +17,17 @@
 	readonly boot: string;
 };
 
-/** A server that is held for one suspect. */
+/** A lock on an engine for one suspected request. */
 export type QuarantineLock = {
 	readonly server: string;
-	/** Lets the server go; calling it again does nothing. */
+	/** Releases the lock. Further calls have no effect. */
 	release(): void;
 };
 
 const LOCK_DEADLINE_MS = 1500;
 const RELEASE_DEADLINE_MS = 10_000;
 
-/** Takes and releases quarantine locks. */
+/** Acquires and releases quarantine locks. */
 export class Quarantine {
 	readonly #options: QuarantineOptions;
 	#next = 1;
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Tries to hold one of the servers, in the order given.
+	 * Tries to lock one of the servers, in the given order.
 	 *
 	 * @example
 	 * ```ts
@@ -74,7 +74,7 @@
 			return {server, release: once(release)};
 		}
 
-		// Another copy of the claim may still be granted later.
+		// A copy of the claim that was sent again may still be granted later.
 		release();
 		return undefined;
 	}
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -1,5 +1,6 @@
 /**
- * The HTTP side of an entry host: callers, backend servers' announcements, operators, the platform's checks.
+ * The HTTP server of an entry host, for callers, backend servers' announcements, operators, and health checks and
+ * metrics of the platform.
  *
  * @module
  */
@@ -41,7 +42,7 @@
 const KEEP_ALIVE_MS = 65_000;
 const ANNOUNCE_PATH = '/backends/announce';
 
-/** The listening HTTP server. Whoever started it closes it. */
+/** The HTTP server of an entry host. Its creator must close it. */
 export class EntryServer {
 	readonly #options: EntryServerOptions;
 	readonly #server: http.Server;
@@ -64,12 +65,12 @@
 		});
 	}
 
-	/** Requests that are being served now. */
+	/** Number of requests in progress. */
 	get activeCount(): number {
 		return this.#active;
 	}
 
-	/** Listens and returns the port taken. */
+	/** Starts listening and returns the port. */
 	async listen({address, port}: Endpoint): Promise<Either.Either<Problem, number>> {
 		return new Promise(resolve => {
 			this.#server.once('error', error => {
@@ -81,18 +82,18 @@
 		});
 	}
 
-	/** Refuses readiness from now on; requests are still served. */
+	/** Reports not ready from now on. Requests are still served. */
 	beginStop(): void {
 		this.#isStopping = true;
 	}
 
-	/** Accepts no connection any more and ends idle ones. */
+	/** Stops accepting connections and closes idle ones. */
 	stopAccepting(): void {
 		this.#server.close();
 		this.#server.closeIdleConnections();
 	}
 
-	/** Ends every connection. */
+	/** Stops listening and closes all connections. */
 	close(): void {
 		this.#server.close();
 		this.#server.closeAllConnections();
@@ -119,7 +120,7 @@
 		try {
 			await this.#dispatch(exchange);
 		} catch (error) {
-			this.#options.logger.error('An unexpected fault.', {request: exchange.id, error: String(error), stack: (error as Error).stack});
+			this.#options.logger.error('Unexpected error while serving a request.', {request: exchange.id, error: String(error), stack: (error as Error).stack});
 			sendProblem(exchange, createProblem('internal', `Request ${exchange.id}.`));
 		}
 	}
@@ -145,7 +146,7 @@
 		await (isOperator ? this.#options.operators.handle(exchange, body.right) : this.#serveCaller(exchange, body.right));
 	}
 
-	/** Answers the platform's checks; true if it was one. */
+	/** Answers health checks and metrics requests of the platform. Returns false for any other request. */
 	async #servePlatform(exchange: Exchange): Promise<boolean> {
 		const {metrics, isReady} = this.#options;
 		switch (exchange.path) {
@@ -241,7 +242,7 @@
 	}
 }
 
-/** Answers bytes that are not HTTP, or headers that are too long or too slow, and closes only that connection. */
+/** Sends an error for input that is not HTTP, or headers that are too long or too slow, and closes only that connection. */
 function refuseMalformed(error: Error & {code?: string}, socket: Socket): void {
 	if (error.code === 'ECONNRESET' || !socket.writable) {
 		socket.destroy();
--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -1,6 +1,6 @@
 /**
- * Serves calls to declared services. Work that may not be repeated is claimed in the ledger before its first byte
- * leaves.
+ * Serves calls to declared services. A call that may not be repeated and has an idempotency key is claimed in the
+ * ledger before its first byte is sent to a server.
  *
  * @module
  */
@@ -62,11 +62,11 @@
 const LONGEST_POLL_MS = 400;
 const MAX_ATTEMPTS = 4;
 const MAX_KEY_CHARACTERS = 200;
-/** Largest answer that the ledger keeps, bytes. */
+/** Largest response body that the ledger stores. */
 const MAX_KEPT_ANSWER_BYTES = 65_536;
 const PASSED_HEADERS = ['content-type', 'accept', 'authorization', 'accept-language', 'carawayhoist-team'];
 
-/** Serves the declared services of one entry host. */
+/** Serves calls to the declared services on one entry host. */
 export class ServiceHandler {
 	readonly #options: ServiceHandlerOptions;
 	#nextAttempt = 1;
@@ -75,7 +75,7 @@
 		this.#options = options;
 	}
 
-	/** Finds the declared route of a call. */
+	/** Finds the declared route that matches a call. */
 	matchRoute(method: string, path: string): RouteMatch | undefined {
 		for (const resource of this.#options.view.list('service')) {
 			const {routes} = resource.specification as Service;
@@ -88,7 +88,7 @@
 		return undefined;
 	}
 
-	/** Serves one call to its end. */
+	/** Serves one call. */
 	async handle(exchange: Exchange, body: Buffer, match: RouteMatch): Promise<void> {
 		const {clock, journal, metrics} = this.#options;
 		const kind = match.route.repeatable ? 'repeatable' : 'non-repeatable';
@@ -118,7 +118,7 @@
 				break;
 			}
 
-			// A second try opens a new connection: the pooled one may have gone silent.
+			// Retries open a new connection, because the pooled one may be dead without having been closed.
 			const leftMs = call.deadlineMs - clock.monotonicMs();
 			const timeoutMs = attempt === 1 ? Math.min(leftMs, Math.max(500, leftMs / 3)) : leftMs;
 			const result = await this.#send(call, server, {attempt, timeoutMs, isFresh: attempt > 1});
@@ -156,7 +156,7 @@
 		const team = readHeader(call.exchange.request, 'carawayhoist-team') ?? 'default';
 		const key = `${call.match.service}/${team}/${callerKey}`;
 		const fingerprint = fingerprintCall(call);
-		// Every poll is the same attempt: whichever copy of its claim is granted, this call learns of it.
+		// Every poll uses the same attempt ID, so that this call recognizes its claim whichever copy was granted.
 		const claimed: Claimed = {key, attempt: `${this.#options.boot}/${this.#nextAttempt++}`};
 		let pollMs = FIRST_POLL_MS;
 		for (;;) {
@@ -216,7 +216,7 @@
 		return describeOnce(result);
 	}
 
-	/** A copy of the claim may still be committed: it must not be granted to a call that has ended. */
+	/** Releases the claim. A copy of it may still be committed later and must not be granted to a call that has ended. */
 	#giveBack(claimed: Claimed): void {
 		this.#settleInBackground(claimed, {outcome: 'not-run'});
 	}
@@ -228,7 +228,7 @@
 		}, BACKGROUND_SETTLE_MS)();
 	}
 
-	/** Sends the work to at most one server that takes it; a server that surely did not run it is passed over. */
+	/** Sends the call to one server after another until one may have run it. */
 	async #sendOnce(call: Call): Promise<PlainResult> {
 		const {clock, pool} = this.#options;
 		const tried = new Set<string>();
@@ -260,7 +260,7 @@
 		const isFirst = !second || (first && pool.loads.estimate(first.server).requests <= pool.loads.estimate(second.server).requests);
 		const chosen = isFirst ? first : second;
 		if (chosen) {
-			logger.info(`Sends call to ${chosen.server}.`, {
+			logger.info(`Sending call to ${chosen.server}.`, {
 				request: call.exchange.id, server: chosen.server, reason: 'fewer of two', considered: servers.map(({server}) => server),
 			});
 		}
@@ -296,7 +296,7 @@
 }
 
 /**
- * Tells whether a declared path covers the path of a call; `/*` at its end covers everything below.
+ * Whether a declared path matches the path of a call. A final `/*` matches everything below it.
  *
  * @example
  * ```ts
--- a/src/entry/view.ts
+++ b/src/entry/view.ts
@@ -1,7 +1,8 @@
 /**
- * The configuration in force at one entry host, and the lease that it holds it under.
+ * The resources that an entry host has applied, and the lease under which it holds them.
  *
- * A view never goes back: updates that build on another version or are older than the one in force are not applied.
+ * The version never decreases. Updates that are older than the applied version, or that start from a later version and
+ * would leave a gap, are not applied.
  *
  * @module
  */
@@ -18,17 +19,17 @@
 
 const NO_VERSION = -1;
 
-/** The resources in force. A step machine: updates in, accessors out. */
+/** The resources that an entry host has applied. A state machine without I/O. */
 export class ResourceView {
 	readonly #resources = new Map<string, Resource>();
 	#version = NO_VERSION;
 
-	/** Version in force; -1 before the first update. */
+	/** The applied version; -1 before the first update. */
 	get version(): number {
 		return this.#version;
 	}
 
-	/** Applies an update; false if it is older or builds on another version. */
+	/** Applies an update. Returns false if it is older than the applied version or starts from a later one. */
 	apply(update: ViewUpdate): boolean {
 		const isWhole = update.from === NO_VERSION;
 		if (update.version < this.#version || (!isWhole && update.from > this.#version)) {
@@ -60,12 +61,12 @@
 		return kind === undefined ? all : all.filter(resource => resource.specification.kind === kind);
 	}
 
-	/** The planned change that keeps new work away from a server, if there is one. */
+	/** Finds the planned change that excludes a server from new work. */
 	findExclusion(server: string): Resource | undefined {
 		return this.list('change').find(resource => excludesServer(resource, server));
 	}
 
-	/** Servers that an unfinished change or an order concerns. */
+	/** Lists the servers that unfinished changes affect, replacements included. */
 	listChangingServers(): string[] {
 		const servers = this.list('change').filter(resource => isOpenChange(resource)).flatMap(resource => {
 			const {server, replacement} = resource.specification as Change;
@@ -77,13 +78,13 @@
 
 export type ViewTaskOptions = {
 	readonly host: string;
-	/** Identity of this start of the process. */
+	/** Unique ID of this run of the process. */
 	readonly boot: string;
 	readonly view: ResourceView;
 	readonly client: ControlClient;
 	readonly clock: Clock;
 	readonly logger: Logger;
-	/** Requests in flight here at a server. */
+	/** Returns the number of requests from this host that a server is running. */
 	readonly countRunning: (server: string) => number;
 	readonly readDemand: () => ModelDemand[];
 	readonly findAnnouncement: (server: string) => Announcement | undefined;
@@ -93,7 +94,7 @@
 const RENEW_EVERY_MS = 400;
 const BUSY_RENEW_EVERY_MS = 100;
 
-/** Keeps a view up to date. Whoever started it closes it. */
+/** Keeps a resource view up to date and renews its lease. Its creator must close it. */
 export class ViewTask {
 	readonly #options: ViewTaskOptions;
 	readonly #listeners = new Set<() => void>();
@@ -110,28 +111,28 @@
 		this.#schedule(0);
 	}
 
-	/** Whether the leader still counts on this host to know every change. */
+	/** Whether the lease is valid, that is, whether the leader waits for this host to apply each change. */
 	get hasLease(): boolean {
 		return this.#options.clock.monotonicMs() < this.#leaseUntilMs;
 	}
 
-	/** Time since the view lease was last renewed, milliseconds. */
+	/** Time since the lease was last renewed, milliseconds. */
 	get ageMs(): number {
 		return this.#options.clock.monotonicMs() - this.#renewedMs;
 	}
 
-	/** Whether a majority has confirmed the view since this process started. */
+	/** Whether the view was read from a majority since this process started. */
 	get isReady(): boolean {
 		return this.#hasRead;
 	}
 
-	/** Calls a listener whenever the view has changed; the returned function ends that. */
+	/** Adds a listener for changes of the view. Returns a function that removes it. */
 	onChange(listener: () => void): () => void {
 		this.#listeners.add(listener);
 		return () => this.#listeners.delete(listener);
 	}
 
-	/** Takes a view that the leader sent on its own. */
+	/** Applies an update that the leader pushed. */
 	receivePush(message: Renewed): void {
 		if (this.#hasRead) {
 			this.#apply(message);
@@ -139,7 +140,7 @@
 		}
 	}
 
-	/** Gives the lease back, so that no change waits for this host any more. */
+	/** Releases the lease, so that no change waits for this host any longer. */
 	async releaseLease(): Promise<void> {
 		this.#isLeaving = true;
 		await this.#options.client.renew(this.#createRenewal())();
@@ -178,23 +179,23 @@
 		this.#schedule(isBusy ? BUSY_RENEW_EVERY_MS : RENEW_EVERY_MS);
 	}
 
-	/** A restarted host starts from what a majority confirms, not from a replica that may be behind. */
+	/** Reads the initial view with the confirmation of a majority, because a single replica may be behind. */
 	async #readFirst(): Promise<void> {
 		const listing = await this.#options.client.read(NO_VERSION)();
 		if (Either.isRight(listing)) {
 			this.#options.view.apply(listing.right.view);
 			this.#hasRead = true;
-			this.#options.logger.info(`Has the configuration of version ${listing.right.view.version}.`, {version: listing.right.view.version});
+			this.#options.logger.info(`Loaded configuration version ${listing.right.view.version}.`, {version: listing.right.view.version});
 			this.#notify();
 		}
 	}
 
 	async #renewLease(): Promise<void> {
-		// The lease counts from before the request, so that it never outlasts what the leader grants.
+		// The lease starts before the request is sent, so that it expires here before it expires at the leader.
 		const askedMs = this.#options.clock.monotonicMs();
 		const renewed = await this.#options.client.renew(this.#createRenewal())();
 		if (Either.isLeft(renewed)) {
-			this.#options.logger.debug('Could not renew the view lease.', {code: renewed.left.code});
+			this.#options.logger.debug('Failed to renew the view lease.', {code: renewed.left.code});
 			return;
 		}
 
@@ -218,12 +219,12 @@
 		const before = view.version;
 		client.updateMembers(message.members);
 		if (!view.apply(message.view)) {
-			logger.warn('Ignores an older configuration.', {have: before, got: message.view.version});
+			logger.warn('Ignored a configuration update that is older or leaves a gap.', {have: before, got: message.view.version});
 			return;
 		}
 
 		if (view.version !== before) {
-			logger.info(`Configuration ${view.version} is in force.`, {version: view.version, from: before});
+			logger.info(`Applied configuration version ${view.version}.`, {version: view.version, from: before});
 			this.#notify();
 		}
 	}
