--- a/test/completion.test.ts
+++ b/test/completion.test.ts
@@ -25,7 +25,7 @@
 	await fixture.stop();
 });
 
-test('the openai client gets a chat answer whole, with usage', async () => {
+test('the openai client gets a complete chat response with usage', async () => {
 	const answer = await client.chat.completions.create({model: 'summary-1', messages: [{role: 'user', content: 'Hello'}]});
 	assert.equal(answer.object, 'chat.completion');
 	assert.equal(answer.choices[0]?.message.content, expectedAnswer('user: Hello', ANSWER_TOKENS['summary-1']!));
@@ -33,7 +33,7 @@
 	assert.equal(answer.usage?.completion_tokens, ANSWER_TOKENS['summary-1']);
 });
 
-test('the openai client gets a chat answer as a stream, with usage when asked', async () => {
+test('the openai client gets a streamed chat response, with usage on request', async () => {
 	const stream = await client.chat.completions.create({
 		model: 'chat-1', messages: [{role: 'user', content: 'Compare'}], stream: true, stream_options: {include_usage: true},
 	});
@@ -49,7 +49,7 @@
 	assert.deepEqual(usage, {prompt_tokens: 4, completion_tokens: 120, total_tokens: 124});
 });
 
-test('the openai client gets text completions, plain and streamed', async () => {
+test('the openai client gets text completions, complete and streamed', async () => {
 	const answer = await client.completions.create({model: 'summary-1', prompt: 'Once', max_tokens: 5});
 	assert.equal(answer.choices[0]?.text, expectedAnswer('Once', 5));
 	let text = '';
@@ -71,7 +71,7 @@
 	assert.deepEqual(ids, ['chat-1', 'summary-1']);
 });
 
-test('the openai client gets errors in its shape, with our number', async () => {
+test('the openai client gets errors in its own format, with our error code', async () => {
 	await assert.rejects(client.chat.completions.create({model: 'none', messages: [{role: 'user', content: 'x'}]}), (error: unknown) => {
 		assert.ok(error instanceof OpenAI.NotFoundError);
 		assert.equal(Number(error.code), 2004);
@@ -80,15 +80,15 @@
 	});
 });
 
-test('wrong requests get a numbered error', async () => {
+test('invalid requests get an error code', async () => {
 	const wrong: ReadonlyArray<readonly [string, string, number]> = [
 		['not JSON', '{"model"', 2001],
-		['a list', '[]', 2001],
+		['an array', '[]', 2001],
 		['no model', '{"messages": []}', 2001],
 		['no messages', '{"model": "chat-1"}', 2001],
-		['messages of the wrong shape', '{"model": "chat-1", "messages": [1]}', 2001],
+		['messages that are not objects', '{"model": "chat-1", "messages": [1]}', 2001],
 		['max_tokens below 1', '{"model": "chat-1", "messages": [{"role": "user", "content": "x"}], "max_tokens": 0}', 2001],
-		['two answers', '{"model": "chat-1", "messages": [{"role": "user", "content": "x"}], "n": 2}', 2001],
+		['two choices', '{"model": "chat-1", "messages": [{"role": "user", "content": "x"}], "n": 2}', 2001],
 		['too large', JSON.stringify({model: 'x'.repeat(70_000)}), 2002],
 	];
 	for (const [title, body, code] of wrong) {
@@ -101,7 +101,7 @@
 	assert.equal((await fetch(`${fixture.url}/nowhere`)).status, 404);
 });
 
-test('a slow sender, bytes that are not HTTP and long headers close only their own connection', async () => {
+test('a slow request body, input that is not HTTP and long headers close only their own connection', async () => {
 	const slow = exchangeRaw('POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{"mo');
 	const noise = exchangeRaw('this is not HTTP\r\n\r\n');
 	const long = exchangeRaw(`GET /v1/models HTTP/1.1\r\nhost: x\r\nx-long: ${'y'.repeat(9000)}\r\n\r\n`);
@@ -112,7 +112,7 @@
 	assert.equal((await answer).choices[0]?.message.content, expectedAnswer('user: beside', 24));
 });
 
-test('a caller that goes away cancels the work at the engine', async () => {
+test('when the caller disconnects, the request is cancelled at the engine', async () => {
 	const engine = await fixture.add(entries => new FakeEngine({
 		name: 'slow', entries, announceEveryMs: 50, stepMs: 50, models: ['slow-1'],
 	}));
@@ -130,7 +130,7 @@
 	}
 });
 
-/** Sends raw bytes and returns everything that comes back until the connection closes. */
+/** Sends raw bytes and returns everything received until the connection closes. */
 async function exchangeRaw(bytes: string): Promise<string> {
 	const {port} = new URL(fixture.url);
 	return new Promise((resolve, reject) => {
--- a/test/directory.test.ts
+++ b/test/directory.test.ts
@@ -3,7 +3,7 @@
 import type {Announcement, Fact} from '../src/generated/types.js';
 import {Directory, SERVER_TIMEOUT_MS} from '../src/membership/directory.js';
 
-test('an old announcement never revives a leaving server', () => {
+test('an outdated announcement never revives a leaving server', () => {
 	const directory = new Directory('h1');
 	directory.merge(server(1, 5, true), 0);
 	assert.equal(directory.merge(server(1, 4, false), 10), 'none');
@@ -12,7 +12,7 @@
 	assert.equal(directory.findServer('s')?.leaving, false);
 });
 
-test('any order of arrival gives the same facts', () => {
+test('facts that arrive in any order merge to the same state', () => {
 	const facts = [server(1, 1), server(1, 2, true), server(2, 1), poison('a#1'), poison('b#1')];
 	const one = new Directory('h1');
 	const other = new Directory('h2');
@@ -28,7 +28,7 @@
 	assert.deepEqual(one.findPoison('f')?.servers, ['a#1', 'b#1']);
 });
 
-test('urgent news goes before load reports, within the bytes allowed', () => {
+test('urgent facts are sent before load reports, within the byte limit', () => {
 	const directory = new Directory('h1');
 	for (let index = 0; index < 50; index++) {
 		const fact = server(1, 1, false, `s${index}`);
@@ -36,7 +36,7 @@
 	}
 
 	while (directory.takeRumors(100_000).length > 0) {
-		// What is known everywhere is no news.
+		// Drains the queue, so that it holds only the changes made below.
 	}
 
 	for (let index = 0; index < 50; index++) {
@@ -48,7 +48,7 @@
 	assert.ok(rest.length < 5);
 });
 
-test('a load report alone is not urgent, and does not change the digest', () => {
+test('a load report alone is not urgent and does not change the digest', () => {
 	const directory = new Directory('h1');
 	directory.merge(server(1, 1), 0);
 	const digest = directory.digest();
@@ -56,7 +56,7 @@
 	assert.equal(directory.digest(), digest);
 });
 
-test('a server that is silent for long is not used', () => {
+test('a server without a recent announcement is not listed', () => {
 	const directory = new Directory('h1');
 	directory.merge(server(1, 1), 0);
 	assert.equal(directory.listServers(SERVER_TIMEOUT_MS - 1).length, 1);
--- a/test/handoff.test.ts
+++ b/test/handoff.test.ts
@@ -22,7 +22,7 @@
 	await fixture.stop();
 });
 
-test('a long prompt is computed at the prefill engine, and the decode engine goes on with its KV cache', async () => {
+test('a long prompt is prefilled at the prefill engine, and the decode engine continues from its KV cache', async () => {
 	const content = 'a long track about barley. '.repeat(400);
 	const answer = await streamCompletion(fixture.url, {model: 'summary-1', content});
 	assert.ok(answer.isWhole);
@@ -30,13 +30,13 @@
 	assert.equal(await importsOf(prefill), 0);
 });
 
-test('a short prompt goes straight to the decode engine', async () => {
+test('a short prompt is sent directly to the decode engine', async () => {
 	const answer = await streamCompletion(fixture.url, {model: 'chat-1', content: 'compare'});
 	assert.ok(answer.isWhole);
 	assert.equal(await importsOf(decode), 1);
 });
 
-test('an answer that would come too late is refused at once when the caller has said what late is', async () => {
+test('a request is rejected at once if its first token is expected later than the caller demands', async () => {
 	const response = await fetch(`${fixture.url}/v1/chat/completions`, {
 		method: 'POST',
 		headers: {'carawayhoist-first-token-ms': '1'},
@@ -48,7 +48,7 @@
 	assert.ok(Number(response.headers.get('retry-after')) >= 1);
 });
 
-test('an engine is given the role that the operators declared', async () => {
+test('an engine gets the role that the operators declare', async () => {
 	await fixture.put('engine', 'd1', {kind: 'engine', role: 'mixed'});
 	await waitUntil(async () => {
 		const {role} = await (await fetch(`${decode.url}/runs`)).json() as {role: string};
@@ -61,7 +61,7 @@
 	}, 'the declared role again');
 });
 
-test('with automatic roles the leader changes an engine\'s role when the mix has shifted, and says why', async () => {
+test('with automatic roles the leader changes an engine\'s role when the demand shifts, and records the reason', async () => {
 	await fixture.add(entries => new FakeEngine({
 		name: 'd2', entries, role: 'decode', announceEveryMs: 50, stepMs: 2, awayMs: 50,
 	}));
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -4,10 +4,10 @@
 import {FakeEngine, POISON_WORD} from '../fakes/engine.js';
 import {startFixture} from './fixture.js';
 
-/** A process that dies may lose its connections a moment before its listening socket. */
+/** A dying process may close its connections a moment before its listening socket. */
 const LISTENS_ON_MS = 60;
 
-test('an engine that still accepts connections while it dies counts as crashed: the request is stopped after two', async t => {
+test('an engine that still accepts connections while it dies counts as crashed: the request is rejected after two crashes', async t => {
 	const fixture = await startFixture();
 	t.after(async () => fixture.stop());
 	const crashed = new Set<string>();
@@ -33,7 +33,7 @@
 	assert.equal(crashed.size, 2);
 });
 
-test('a request that was acquitted of one crash survives the crash of another engine that it runs at', async t => {
+test('a request cleared of one crash survives the crash of another engine that runs it', async t => {
 	const fixture = await startFixture();
 	t.after(async () => fixture.stop());
 	const engines: FakeEngine[] = [];
@@ -51,7 +51,7 @@
 		model: 'chat-1',
 		content: 'innocent',
 		onToken(count) {
-			// The second crash comes after the request has run on alone for some tokens.
+			// By the second crash, the request has been cleared: it ran alone for some tokens.
 			if (count === 5 || count === 20) {
 				stopRunning();
 			}
--- a/test/operator.test.ts
+++ b/test/operator.test.ts
@@ -15,13 +15,13 @@
 	await fixture.stop();
 });
 
-test('operators without a key are refused, callers are not', async () => {
+test('operators without a key are rejected, callers are not', async () => {
 	const refused = await fetch(`${fixture.url}/api/v1/resources`);
 	assert.deepEqual([refused.status, refused.headers.get('carawayhoist-code')], [401, '2005']);
 	assert.equal((await fetch(`${fixture.url}/v1/models`)).status, 200);
 });
 
-test('of two puts with the same version one wins; the loser learns the winner\'s version', async () => {
+test('of concurrent puts with the same version one wins; the others get the winner\'s version', async () => {
 	const first = await put('team', 'x', {kind: 'team'}, {seen: 0});
 	const {version} = await first.json() as {version: number};
 	const answers = await Promise.all([1, 2, 3].map(async weight => put('team', 'x', {kind: 'team', weight}, {seen: version})));
@@ -33,12 +33,12 @@
 	assert.deepEqual([error.code, error.version, error.outcome], [5001, winner.version, 'not-run']);
 });
 
-test('a put that is sent again with its key gets the first answer', async () => {
+test('a put that is retried with the same idempotency key gets the first response', async () => {
 	const send = async () => (await put('team', 'again', {kind: 'team'}, {seen: 0, key: 'one-intent'})).json();
 	assert.deepEqual(await send(), await send());
 });
 
-test('wrong resources are refused with the fields named', async () => {
+test('invalid resources are rejected with the names of the invalid fields', async () => {
 	const response = await put('service', 'bad', {kind: 'service', routes: [{method: 'FETCH', path: 'x', repeatable: true}]}, {});
 	const {error} = await response.json() as {error: {code: number; message: string}};
 	assert.equal(error.code, 5002);
@@ -47,7 +47,7 @@
 	assert.equal((await call('GET', 'resources/nonsense')).status, 404);
 });
 
-test('a watch tells every change in order and is resumed from a version', async () => {
+test('a watch reports every change in order and can be resumed from a version', async () => {
 	const abort = new AbortController();
 	const seen: Update[] = [];
 	const versions: number[] = [];
@@ -91,7 +91,7 @@
 	return fetch(`${fixture.url}/api/v1/${path}`, {method, signal, headers: {authorization: `Bearer ${KEY}`}});
 }
 
-/** Collects updates until the watch ends or enough have come. */
+/** Collects updates until the watch ends or enough have arrived. */
 async function readUpdates(response: Response, into: Update[], enough = Number.POSITIVE_INFINITY): Promise<void> {
 	let rest = '';
 	try {
@@ -104,6 +104,6 @@
 			}
 		}
 	} catch {
-		// The reader has ended the watch.
+		// The test has aborted the watch.
 	}
 }
--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -6,14 +6,14 @@
 
 const SECOND = 1000;
 
-test('a late announcement of an earlier start changes nothing', () => {
+test('a late announcement of an earlier incarnation changes nothing', () => {
 	const registry = new ServerRegistry();
 	registry.merge(announce({incarnation: 20, sequence: 1}), 0);
 	assert.equal(registry.merge(announce({incarnation: 10, sequence: 9}), 1), MERGE_RESULTS.none);
 	assert.equal(registry.findStatus('s1')?.announcement.incarnation, 20);
 });
 
-test('an announcement that was overtaken by the notice of leaving does not revive the server', () => {
+test('neither a late nor a further announcement revives a server that has announced that it is leaving', () => {
 	const registry = new ServerRegistry();
 	registry.merge(announce({sequence: 1}), 0);
 	registry.merge(announce({sequence: 3, leaving: true}), 1);
@@ -22,7 +22,7 @@
 	assert.deepEqual(registry.listUsable(), []);
 });
 
-test('a leave holds against delayed announcements and not against a new start under the same identity', () => {
+test('a deregistered server is revived by a new incarnation, not by delayed announcements', () => {
 	const registry = new ServerRegistry();
 	registry.merge(announce({incarnation: 10, sequence: 1}), 0);
 	assert.equal(registry.deregister('s1'), true);
@@ -40,7 +40,7 @@
 	assert.equal(registry.merge(announce({server: 'ghost', incarnation: 15, sequence: 3}), 2), MERGE_RESULTS.none);
 });
 
-test('a silent server is told of once and used again with its next announcement', () => {
+test('a silent server is reported once and becomes usable again with its next announcement', () => {
 	const registry = new ServerRegistry({silentAfterMs: 6 * SECOND, forgetAfterMs: 60 * SECOND});
 	registry.merge(announce({sequence: 1}), 0);
 	assert.deepEqual(registry.expire(5 * SECOND), []);
@@ -51,7 +51,7 @@
 	assert.equal(registry.listUsable().length, 1);
 });
 
-test('refreshes are listed only for those who ask for them', () => {
+test('refreshes are listed only on request', () => {
 	const registry = new ServerRegistry();
 	registry.merge(announce({sequence: 1}), 0);
 	const {revision} = registry;
@@ -77,7 +77,7 @@
 	}
 });
 
-test('an entry host drops a server once every control host that knows is without it', () => {
+test('an entry host stops using a server once it is silent on every control host', () => {
 	const live = {listLive: () => ['c1', 'c2'], isWarm: () => true};
 	const roster = new ServerDiscovery(live);
 	const announcement = announce({});
@@ -89,7 +89,7 @@
 	assert.equal(roster.listUsable().length, 0);
 });
 
-test('an entry host goes on with its last view when all control hosts start anew', () => {
+test('an entry host keeps using its last known servers while all control hosts restart', () => {
 	const warm = {value: true};
 	const roster = new ServerDiscovery({listLive: () => ['c1'], isWarm: () => warm.value});
 	roster.merge(feed({whole: true, sightings: [{announcement: announce({}), gone: false, silent: false}]}), 'c1', 0);
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -19,10 +19,13 @@
 	await fixture.stop();
 });
 
-/** One event of a wrong answer; undefined: none. */
+/** Creates one event of a faulty response; undefined for no event. */
 type Fault = (id: string, offset: number, prompt: string) => object | undefined;
 
-/** Stands between the host and a server; can lose track of the connections it has while new ones work. */
+/**
+ * A TCP proxy between the entry host and an engine. It can stop forwarding on its open connections without closing
+ * them, like a middlebox that has lost its connection table, while new connections work.
+ */
 class Middle {
 	readonly port: number;
 	readonly #server: net.Server;
@@ -48,7 +51,7 @@
 		return middle;
 	}
 
-	/** Forwards nothing more on the connections that are open now, and closes none of them. */
+	/** Stops forwarding on all open connections without closing them. */
 	loseTrack(): void {
 		for (const [near, far] of this.#pairs) {
 			near.unpipe(far);
@@ -67,7 +70,7 @@
 	}
 }
 
-test('a connection that goes silent in the middle of a stream is replaced by a new one to the same engine', async t => {
+test('a connection that freezes in the middle of a stream is replaced by a new one to the same engine', async t => {
 	const holder: {engine?: FakeEngine} = {};
 	const middle = await Middle.start(() => holder.engine!.port);
 	t.after(() => {
@@ -93,7 +96,7 @@
 	assert.equal(requests['user: silent'], 2);
 });
 
-test('answers that belong to another request, have a gap, repeat or end early never reach a caller', async t => {
+test('responses that belong to another request, skip or repeat a token, or end early never reach a caller', async t => {
 	const faults: Fault[] = [
 		(_id, offset) => ({id: 'somebody-else', offset, choices: [{delta: {content: 'WRONG '}}]}),
 		(id, offset) => ({id, offset: offset + 1, choices: [{delta: {content: 'WRONG '}}]}),
@@ -117,7 +120,7 @@
 	}
 });
 
-/** An engine whose answers are wrong in one way. */
+/** Starts and announces an engine whose responses all have the same fault. */
 async function startOddEngine(model: string, fault: Fault): Promise<http.Server> {
 	const server = http.createServer((request, response) => {
 		if (request.method !== 'POST') {
