--- a/src/entry/completion.ts
+++ b/src/entry/completion.ts
@@ -42,28 +42,28 @@
  * ```
  */
 export function parseCompletionRequest(api: Api, body: Readonly<Record<string, unknown>>): Either.Either<Problem, CompletionRequest> {
-	const refuse = (text: string) => Either.left(createProblem('badRequest', text));
+	const reject = (text: string) => Either.left(createProblem('badRequest', text));
 	const {model, stream, n} = body;
 	if (typeof model !== 'string' || model === '') {
-		return refuse('model must be a string.');
+		return reject('model must be a string.');
 	}
 
 	if (stream !== undefined && stream !== null && typeof stream !== 'boolean') {
-		return refuse('stream must be true or false.');
+		return reject('stream must be true or false.');
 	}
 
 	if (n !== undefined && n !== null && n !== 1) {
-		return refuse('n must be 1.');
+		return reject('n must be 1.');
 	}
 
 	const maxTokens = body.max_completion_tokens ?? body.max_tokens ?? undefined;
 	if (maxTokens !== undefined && (typeof maxTokens !== 'number' || !Number.isInteger(maxTokens) || maxTokens < 1)) {
-		return refuse('max_tokens must be a whole number of at least 1.');
+		return reject('max_tokens must be a whole number of at least 1.');
 	}
 
-	const prompt = api === APIS.chat ? readMessages(body.messages) : readPrompt(body.prompt);
+	const prompt = api === APIS.chat ? joinMessages(body.messages) : parsePrompt(body.prompt);
 	if (prompt === undefined) {
-		return refuse(api === APIS.chat ? 'messages must be a non-empty list of {role, content}.' : 'prompt must be a string or a list of one.');
+		return reject(api === APIS.chat ? 'messages must be a non-empty list of {role, content}.' : 'prompt must be a string or a list of one.');
 	}
 
 	const {stream: _stream, stream_options: options, ...rest} = body;
@@ -140,7 +140,7 @@
 /** Writes the response as server-sent events. */
 export class EventStreamWriter implements ResponseWriter {
 	readonly #options: WriterOptions;
-	readonly #head: string;
+	readonly #eventPrefix: string;
 	#hasStarted = false;
 	/** Events to be sent in one write, because a write costs as much as many events. */
 	#batch = '';
@@ -150,7 +150,7 @@
 		const {id, request, createdSeconds} = options;
 		const object = request.api === APIS.chat ? 'chat.completion.chunk' : 'text_completion';
 		// All events share this part, so it is serialized only once.
-		this.#head = `data: ${JSON.stringify({
+		this.#eventPrefix = `data: ${JSON.stringify({
 			id, object, created: createdSeconds, model: request.model,
 		}).slice(0, -1)},"choices":[`;
 	}
@@ -161,13 +161,13 @@
 		const choice = request.api === APIS.chat
 			? `{"index":0,"delta":{"content":${content}},"logprobs":null,"finish_reason":null}`
 			: `{"index":0,"text":${content},"logprobs":null,"finish_reason":null}`;
-		this.#batch += `${this.#head}${choice}]}\n\n`;
+		this.#batch += `${this.#eventPrefix}${choice}]}\n\n`;
 	}
 
 	flush(): boolean {
 		const {response} = this.#options;
 		if (this.#batch !== '' && !response.destroyed) {
-			this.#start();
+			this.#writeHead();
 			response.write(this.#batch);
 			this.#batch = '';
 		}
@@ -181,14 +181,14 @@
 		const choice = request.api === APIS.chat
 			? `{"index":0,"delta":{},"logprobs":null,"finish_reason":${reason}}`
 			: `{"index":0,"text":"","logprobs":null,"finish_reason":${reason}}`;
-		this.#start();
-		const last = this.#batch;
+		this.#writeHead();
+		const remaining = this.#batch;
 		this.#batch = '';
-		const usageEvent = request.includesUsage ? `${this.#head}],"usage":${JSON.stringify(usage)}}\n\n` : '';
-		response.end(`${last}${this.#head}${choice}]}\n\n${usageEvent}data: [DONE]\n\n`);
+		const usageEvent = request.includesUsage ? `${this.#eventPrefix}],"usage":${JSON.stringify(usage)}}\n\n` : '';
+		response.end(`${remaining}${this.#eventPrefix}${choice}]}\n\n${usageEvent}data: [DONE]\n\n`);
 	}
 
-	#start(): void {
+	#writeHead(): void {
 		if (this.#hasStarted) {
 			return;
 		}
@@ -199,12 +199,12 @@
 			'content-type': 'text/event-stream; charset=utf-8', 'cache-control': 'no-cache', 'x-request-id': id,
 		});
 		if (request.api === APIS.chat) {
-			response.write(`${this.#head}{"index":0,"delta":{"role":"assistant","content":""},"logprobs":null,"finish_reason":null}]}\n\n`);
+			response.write(`${this.#eventPrefix}{"index":0,"delta":{"role":"assistant","content":""},"logprobs":null,"finish_reason":null}]}\n\n`);
 		}
 	}
 }
 
-function readMessages(messages: unknown): string | undefined {
+function joinMessages(messages: unknown): string | undefined {
 	if (!Array.isArray(messages) || messages.length === 0) {
 		return undefined;
 	}
@@ -212,8 +212,8 @@
 	const parts: string[] = [];
 	for (const message of messages as unknown[]) {
 		const {role, content} = (message ?? {}) as {role?: unknown; content?: unknown};
-		const isContent = typeof content === 'string' || Array.isArray(content) || content === null;
-		if (typeof role !== 'string' || !isContent) {
+		const isValidContent = typeof content === 'string' || Array.isArray(content) || content === null;
+		if (typeof role !== 'string' || !isValidContent) {
 			return undefined;
 		}
 
@@ -223,7 +223,7 @@
 	return parts.join('\n');
 }
 
-function readPrompt(prompt: unknown): string | undefined {
+function parsePrompt(prompt: unknown): string | undefined {
 	if (typeof prompt === 'string') {
 		return prompt;
 	}
--- a/src/entry/engine.ts
+++ b/src/entry/engine.ts
@@ -94,7 +94,7 @@
 	 */
 	start(server: Announcement, attempt: AttemptOptions): RunningAttempt {
 		const origin = `http://${formatUrlHost(server.address)}:${server.port}`;
-		const dispatcher = attempt.usesNewConnection ? createFreshClient(origin) : this.#agent;
+		const dispatcher = attempt.usesNewConnection ? createUnpooledClient(origin) : this.#agent;
 		const handler = new AttemptHandler(attempt);
 		const options: Dispatcher.DispatchOptions = {
 			origin,
@@ -140,7 +140,7 @@
 	return address.includes(':') ? `[${address}]` : address;
 }
 
-function createFreshClient(origin: string): Client {
+function createUnpooledClient(origin: string): Client {
 	return new Client(origin, {connect: {timeout: CONNECT_TIMEOUT_MS}, headersTimeout: 0, bodyTimeout: 0});
 }
 
@@ -205,7 +205,7 @@
 			return;
 		}
 
-		this.#touch();
+		this.#restartTimeout();
 		this.#parser.feed(this.#decoder.decode(chunk, {stream: true}));
 		this.#attempt.onBatchEnd();
 	}
@@ -246,7 +246,7 @@
 		this.#resolve(result);
 	}
 
-	#touch(): void {
+	#restartTimeout(): void {
 		if (this.#hasEvent) {
 			this.#timer.refresh();
 			return;
@@ -277,10 +277,10 @@
 			return;
 		}
 
-		this.#takeEvent(event);
+		this.#handleEvent(event);
 	}
 
-	#takeEvent(event: EngineEvent): void {
+	#handleEvent(event: EngineEvent): void {
 		if (event.id !== this.#attempt.id) {
 			this.finish({type: 'mismatch', text: `The response belongs to request ${event.id ?? '(none)'}.`});
 			return;
--- a/src/entry/plain.ts
+++ b/src/entry/plain.ts
@@ -26,7 +26,7 @@
 };
 
 export type PlainResult
-	= | {readonly type: 'answer'; readonly answer: PlainResponse}
+	= | {readonly type: 'response'; readonly response: PlainResponse}
 	/** The server did not run the request: no byte of it was sent, or the server says so. */
 		| {readonly type: 'not-run'; readonly text: string}
 	/** The server may have run the request. */
@@ -54,7 +54,7 @@
 	 * @example
 	 * ```ts
 	 * const end = await client.exchange(server, request);
-	 * end.type; // 'answer', 'not-run' or 'unknown'
+	 * end.type; // 'response', 'not-run' or 'unknown'
 	 * ```
 	 */
 	async send(server: Announcement, request: PlainRequest): Promise<PlainResult> {
@@ -118,8 +118,8 @@
 	onResponseStart(_controller: Dispatcher.DispatchController, status: number, headers: Record<string, string | string[] | undefined>): void {
 		this.#status = status;
 		this.#contentType = String(headers['content-type'] ?? 'application/octet-stream');
-		const echoed = headers['x-request-id'];
-		if (echoed !== undefined && echoed !== this.#request.id) {
+		const echoedId = headers['x-request-id'];
+		if (echoedId !== undefined && echoedId !== this.#request.id) {
 			this.#fail('The answer belongs to another request.');
 			return;
 		}
@@ -145,8 +145,8 @@
 			return;
 		}
 
-		const answer = {status: this.#status, contentType: this.#contentType, body: Buffer.concat(this.#chunks)};
-		this.#finish({type: 'answer', answer});
+		const response = {status: this.#status, contentType: this.#contentType, body: Buffer.concat(this.#chunks)};
+		this.#finish({type: 'response', response});
 	}
 
 	onResponseError(_controller: Dispatcher.DispatchController, error: Error & {code?: string}): void {
--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -122,9 +122,9 @@
 			const leftMs = call.deadlineMs - clock.monotonicMs();
 			const timeoutMs = attempt === 1 ? Math.min(leftMs, Math.max(500, leftMs / 3)) : leftMs;
 			const result = await this.#send(call, server, {attempt, timeoutMs, isFresh: attempt > 1});
-			if (result.type === 'answer') {
+			if (result.type === 'response') {
 				pool.health.noteSuccess(server.server);
-				return Either.right(result.answer);
+				return Either.right(result.response);
 			}
 
 			metrics.retries.inc({reason: result.type});
@@ -283,7 +283,7 @@
 			usesNewConnection: options.isFresh,
 		});
 		pool.loads.end(server.server, id);
-		if (result.type !== 'answer') {
+		if (result.type !== 'response') {
 			this.#note(call, `Server ${server.server}: ${result.text} (${result.type}).`);
 		}
 
@@ -308,11 +308,11 @@
 }
 
 function createSettlement(result: PlainResult): Pick<Settle, 'outcome' | 'answer'> {
-	if (result.type !== 'answer') {
+	if (result.type !== 'response') {
 		return {outcome: result.type};
 	}
 
-	const {status, contentType, body} = result.answer;
+	const {status, contentType, body} = result.response;
 	return body.length > MAX_KEPT_ANSWER_BYTES
 		? {outcome: 'done'}
 		: {outcome: 'done', answer: {status, contentType, body: new Uint8Array(body)}};
@@ -320,8 +320,8 @@
 
 function describeOnce(result: PlainResult): Either.Either<Problem, PlainResponse> {
 	switch (result.type) {
-		case 'answer': {
-			return Either.right(result.answer);
+		case 'response': {
+			return Either.right(result.response);
 		}
 
 		case 'not-run': {
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -1,9 +1,9 @@
 /**
  * The facts that entry hosts share by gossip: backend servers, entry hosts, and requests that crash engines.
  *
- * The result of merging facts does not depend on the order in which they arrive. Facts spread by rumor mongering:
- * each host forwards what is new to it a limited number of times. Urgent facts go first; load reports fill the rest of
- * a message's byte budget.
+ * The result of merging facts does not depend on the order in which they arrive. Facts spread by rumor mongering: each
+ * host forwards a fact that is new to it a limited number of times. Urgent facts are sent first, and load reports fill
+ * the rest of a message.
  *
  * @module
  */
@@ -30,7 +30,7 @@
 	readonly fact: Fact;
 	readonly urgent: boolean;
 	/** Number of messages that will still carry the fact. */
-	remaining: number;
+	remainingSends: number;
 };
 
 /** Servers without a newer announcement for this long are no longer listed. */
@@ -38,7 +38,7 @@
 const POISON_RETENTION_MS = 3_600_000;
 const MAX_POISON_FACTS = 2000;
 /** Urgent facts are forwarded this many times for each doubling of the number of hosts, other facts once. */
-const REPEATS_PER_DOUBLING = 2;
+const URGENT_SENDS_PER_DOUBLING = 2;
 /** Encoded size of a gossip message without its facts. */
 const MESSAGE_OVERHEAD_BYTES = 90;
 
@@ -94,7 +94,7 @@
 	merge(fact: Fact, nowMs: number): FactMergeResult {
 		const result = this.#mergeByType(fact, nowMs);
 		if (result !== FACT_MERGE_RESULTS.none) {
-			this.#spread(fact, result);
+			this.#enqueue(fact, result);
 		}
 
 		return result;
@@ -105,7 +105,7 @@
 	 * size on its own is still returned, so that it cannot get stuck.
 	 */
 	takeRumors(maxBytes: number): Fact[] {
-		const rumors = [...this.#rumors].toSorted(([, a], [, b]) => Number(b.urgent) - Number(a.urgent) || b.remaining - a.remaining);
+		const rumors = [...this.#rumors].toSorted(([, a], [, b]) => Number(b.urgent) - Number(a.urgent) || b.remainingSends - a.remainingSends);
 		const facts: Fact[] = [];
 		let bytes = MESSAGE_OVERHEAD_BYTES;
 		for (const [key, rumor] of rumors) {
@@ -115,8 +115,8 @@
 			}
 
 			facts.push(rumor.fact);
-			rumor.remaining--;
-			if (rumor.remaining <= 0) {
+			rumor.remainingSends--;
+			if (rumor.remainingSends <= 0) {
 				this.#rumors.delete(key);
 			}
 		}
@@ -128,7 +128,7 @@
 	digest(): number {
 		let sum = 0;
 		for (const fact of this.listFacts()) {
-			sum = (sum + crc32(describeEssence(fact))) % 0x1_00_00_00_00;
+			sum = (sum + crc32(serializeFact(fact))) % 0x1_00_00_00_00;
 		}
 
 		return sum;
@@ -166,29 +166,29 @@
 
 	#mergeServer(announcement: Announcement, nowMs: number): FactMergeResult {
 		const known = this.#servers.get(announcement.server)?.announcement;
-		if (known && !isLater(announcement, known)) {
+		if (known && !isNewer(announcement, known)) {
 			return FACT_MERGE_RESULTS.none;
 		}
 
 		this.#servers.set(announcement.server, {announcement, receivedMs: nowMs});
-		const isSame = known && describeServer(known) === describeServer(announcement);
+		const isSame = known && serializeServer(known) === serializeServer(announcement);
 		return isSame ? FACT_MERGE_RESULTS.refresh : FACT_MERGE_RESULTS.urgent;
 	}
 
 	#mergeHost(fact: HostFact): FactMergeResult {
 		const known = this.#hosts.get(fact.peer.host);
-		if (known && !isLater(fact, known)) {
+		if (known && !isNewer(fact, known)) {
 			return FACT_MERGE_RESULTS.none;
 		}
 
 		this.#hosts.set(fact.peer.host, fact);
-		return known && describeHost(known) === describeHost(fact) ? FACT_MERGE_RESULTS.refresh : FACT_MERGE_RESULTS.urgent;
+		return known && serializeHost(known) === serializeHost(fact) ? FACT_MERGE_RESULTS.refresh : FACT_MERGE_RESULTS.urgent;
 	}
 
 	#mergePoison(fact: PoisonFact): FactMergeResult {
 		const known = this.#poison.get(fact.fingerprint);
-		const servers = unite(known?.servers, fact.servers);
-		const acquitted = unite(known?.acquitted, fact.acquitted);
+		const servers = computeUnion(known?.servers, fact.servers);
+		const acquitted = computeUnion(known?.acquitted, fact.acquitted);
 		if (known?.servers.length === servers.length && (known.acquitted ?? []).length === acquitted.length) {
 			return FACT_MERGE_RESULTS.none;
 		}
@@ -205,32 +205,32 @@
 		return FACT_MERGE_RESULTS.urgent;
 	}
 
-	#spread(fact: Fact, result: FactMergeResult): void {
-		const key = factKey(fact);
+	#enqueue(fact: Fact, result: FactMergeResult): void {
+		const key = createFactKey(fact);
 		const pending = this.#rumors.get(key);
 		const urgent = result === FACT_MERGE_RESULTS.urgent || (pending?.urgent ?? false);
 		const doublings = Math.ceil(Math.log2(this.#hosts.size + 2));
 		const stored = fact.type === 'poison' ? this.#poison.get(fact.fingerprint)! : fact;
-		this.#rumors.set(key, {fact: stored, urgent, remaining: urgent ? doublings * REPEATS_PER_DOUBLING : doublings});
+		this.#rumors.set(key, {fact: stored, urgent, remainingSends: urgent ? doublings * URGENT_SENDS_PER_DOUBLING : doublings});
 	}
 }
 
-type Ordered = {
+type Version = {
 	readonly incarnation: number;
 	readonly sequence: number;
 };
 
-function isLater(candidate: Ordered, known: Ordered): boolean {
+function isNewer(candidate: Version, known: Version): boolean {
 	return candidate.incarnation === known.incarnation
 		? candidate.sequence > known.sequence
 		: candidate.incarnation > known.incarnation;
 }
 
-function unite(first: readonly string[] = [], second: readonly string[] = []): string[] {
+function computeUnion(first: readonly string[] = [], second: readonly string[] = []): string[] {
 	return [...new Set([...first, ...second])].toSorted();
 }
 
-function factKey(fact: Fact): string {
+function createFactKey(fact: Fact): string {
 	switch (fact.type) {
 		case 'server': {
 			return `server/${fact.announcement.server}`;
@@ -246,14 +246,15 @@
 	}
 }
 
-function describeEssence(fact: Fact): string {
+/** Serializes a fact without its load report and sequence number. */
+function serializeFact(fact: Fact): string {
 	switch (fact.type) {
 		case 'server': {
-			return describeServer(fact.announcement);
+			return serializeServer(fact.announcement);
 		}
 
 		case 'host': {
-			return describeHost(fact);
+			return serializeHost(fact);
 		}
 
 		case 'poison': {
@@ -262,14 +263,14 @@
 	}
 }
 
-function describeServer(announcement: Announcement): string {
-	const {load, sequence, ...essence} = announcement;
-	return JSON.stringify(essence);
+function serializeServer(announcement: Announcement): string {
+	const {load, sequence, ...fields} = announcement;
+	return JSON.stringify(fields);
 }
 
-function describeHost(fact: HostFact): string {
-	const {sequence, ...essence} = fact;
-	return JSON.stringify(essence);
+function serializeHost(fact: HostFact): string {
+	const {sequence, ...fields} = fact;
+	return JSON.stringify(fields);
 }
 
 // Messages are encoded as CBOR, but JSON is cheaper to produce here and only slightly longer.
