--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -17,16 +17,16 @@
 import {ControlState} from '../src/control/state.js';
 import {ResourceView} from '../src/entry/view.js';
 import type {
-	Announcement, Command, Fact, Gossip, Message, Renew,
+	Announcement, Command, Fact, GossipMessage, Message, RenewRequest,
 } from '../src/generated/types.js';
 import {Directory} from '../src/membership/directory.js';
 import {FANOUT, MAX_RUMOR_BYTES, ROUND_INTERVAL_MS} from '../src/membership/gossip.js';
-import {chooseEngine, DEFAULT_SPEED, type Candidate} from '../src/routing/choice.js';
-import {Admission} from '../src/routing/limit.js';
+import {chooseEngine, DEFAULT_ENGINE_SPEED, type Candidate} from '../src/routing/choice.js';
+import {AdmissionController} from '../src/routing/admission.js';
 import {LoadTracker} from '../src/routing/load.js';
 import {PrefixIndex} from '../src/routing/prefix.js';
-import {decodeValue, encodeFrame, encodeValue} from '../src/wire/frame.js';
-import {fitLine, round} from './statistics.js';
+import {decodeCbor, encodeFrame, encodeCbor} from '../src/wire/frame.js';
+import {fitLine, roundToFourDigits} from './statistics.js';
 
 const {values} = parseArgs({
 	options: {json: {type: 'boolean', default: false}, only: {type: 'string'}},
@@ -41,7 +41,7 @@
 	const loads = new LoadTracker();
 	for (let index = 0; index < count; index++) {
 		directory.merge({type: 'server', announcement: createAnnouncement(index, 1)}, 0);
-		loads.report(`server-${index}`, {
+		loads.recordReport(`server-${index}`, {
 			running: 1, waiting: 0, prefillTokens: 1, decodeTokens: 1,
 		}, 0);
 	}
@@ -51,13 +51,13 @@
 
 slope('heap bytes per prefix block, entry host', [20_000, 40_000, 80_000, 160_000], count => heapOf(() => {
 	const index = new PrefixIndex(count);
-	index.note('server', Array.from({length: count}, (_, block) => (block * 7919) % 4_294_967_291));
+	index.record('server', Array.from({length: count}, (_, block) => (block * 7919) % 4_294_967_291));
 	return index;
 }));
 
 slope('heap bytes per resource, view of an entry host', [500, 1000, 2000, 4000], count => heapOf(() => {
 	const view = new ResourceView();
-	view.apply(createState(count).updateSince(-1));
+	view.apply(createState(count).createViewUpdate(-1));
 	return view;
 }));
 
@@ -65,11 +65,11 @@
 
 slope('heap bytes per ledger entry, control replica', [10_000, 20_000, 40_000, 80_000], count => heapOf(() => createLedger(count)));
 
-slope('snapshot bytes per ledger entry', [10_000, 20_000, 40_000, 80_000], count => encodeValue(createLedger(count).save()).length);
+slope('snapshot bytes per ledger entry', [10_000, 20_000, 40_000, 80_000], count => encodeCbor(createLedger(count).createSnapshot()).length);
 
 slope('snapshot microseconds per ledger entry', [10_000, 20_000, 40_000, 80_000], count => {
 	const ledger = createLedger(count);
-	return cpuOf(() => encodeValue(ledger.save()), 5);
+	return cpuOf(() => encodeCbor(ledger.createSnapshot()), 5);
 });
 
 slope('leader microseconds per renewal of a view lease', [50, 100, 200, 380], count => {
@@ -78,10 +78,10 @@
 	const frames = Array.from({length: count}, (_, index) => encodeFrame(createRenewal(index, state.viewVersion)).subarray(4));
 	return cpuOf(() => {
 		for (const frame of frames) {
-			const message = decodeValue(frame) as Renew;
+			const message = decodeCbor(frame) as RenewRequest;
 			validate('Message', message);
-			const leaseMs = controller.renew(message, 1);
-			encodeFrame(createRenewed(leaseMs, state.updateSince(message.version)));
+			const leaseMs = controller.renewViewLease(message, 1);
+			encodeFrame(createRenewed(leaseMs, state.createViewUpdate(message.version)));
 		}
 	}, 30);
 });
@@ -90,7 +90,7 @@
 	const state = createState(10);
 	let bytes = 0;
 	for (let index = 0; index < count; index++) {
-		bytes += encodeFrame(createRenewal(index, state.viewVersion)).length + encodeFrame(createRenewed(1500, state.updateSince(state.viewVersion))).length;
+		bytes += encodeFrame(createRenewal(index, state.viewVersion)).length + encodeFrame(createRenewed(1500, state.createViewUpdate(state.viewVersion))).length;
 	}
 
 	return bytes;
@@ -100,7 +100,7 @@
 	const state = createState(1200);
 	return cpuOf(() => {
 		for (let host = 0; host < count; host++) {
-			encodeFrame(createRenewed(0, state.updateSince(state.viewVersion - 1)));
+			encodeFrame(createRenewed(0, state.createViewUpdate(state.viewVersion - 1)));
 		}
 	}, 30);
 });
@@ -117,10 +117,10 @@
 
 slope('microseconds per admission with so many teams waiting', [50, 100, 200, 400], count => {
 	const run = () => {
-		const admission = new Admission();
+		const admission = new AdmissionController();
 		for (let index = 0; index < count; index++) {
-			admission.offer({
-				id: `r${index}`, team: `team-${index}`, weight: 1, tokens: 100, teamLimit: Number.POSITIVE_INFINITY, startByMs: 10_000,
+			admission.submit({
+				id: `r${index}`, team: `team-${index}`, weight: 1, tokens: 100, teamTokenLimit: Number.POSITIVE_INFINITY, latestStartMs: 10_000,
 			}, 100, 0);
 		}
 	};
@@ -129,14 +129,14 @@
 });
 
 slope('replica microseconds per claim and settlement applied', [1000, 2000, 4000, 8000], count => {
-	const frames = Array.from({length: count}, (_, index) => createClaimPair(index).map(command => encodeValue(command)));
+	const frames = Array.from({length: count}, (_, index) => createClaimPair(index).map(command => encodeCbor(command)));
 	return cpuOf(() => {
 		const state = new ControlState();
 		let index = 0;
 		for (const pair of frames) {
 			for (const data of pair) {
 				index++;
-				state.apply(decodeValue(data) as Command, index);
+				state.apply(decodeCbor(data) as Command, index);
 			}
 		}
 	}, 5);
@@ -155,7 +155,7 @@
 		bytes.push([hosts, result.bytesPerSecond]);
 		cpu.push([hosts, result.cpuMsPerSecond]);
 		print({
-			subject: 'gossip', hosts, servers, bytesPerSecondPerHost: Math.round(result.bytesPerSecond), cpuMsPerSecondPerHost: round(result.cpuMsPerSecond), leavingKnownEverywhereMs: result.leavingMs,
+			subject: 'gossip', hosts, servers, bytesPerSecondPerHost: Math.round(result.bytesPerSecond), cpuMsPerSecondPerHost: roundToFourDigits(result.cpuMsPerSecond), leavingKnownEverywhereMs: result.leavingMs,
 		});
 	}
 
@@ -217,7 +217,7 @@
 
 			const frame = encodeFrame(createGossip(index, facts));
 			bytes += frame.length;
-			const message = decodeValue(frame.subarray(4)) as Gossip;
+			const message = decodeCbor(frame.subarray(4)) as GossipMessage;
 			validate('Message', message);
 			for (const fact of message.facts) {
 				directories[target]!.merge(fact, round * ROUND_INTERVAL_MS);
@@ -240,7 +240,7 @@
 function report(subject: string, points: ReadonlyArray<readonly [number, number]>): void {
 	const fit = fitLine(points);
 	print({
-		subject, slope: round(fit.slope), intercept: round(fit.intercept), residual: round(fit.residual), points: points.map(([size, value]) => `${size}:${round(value)}`).join(' '),
+		subject, slope: roundToFourDigits(fit.slope), intercept: roundToFourDigits(fit.intercept), residual: roundToFourDigits(fit.residual), points: points.map(([size, value]) => `${size}:${roundToFourDigits(value)}`).join(' '),
 	});
 }
 
@@ -343,13 +343,13 @@
 	] as const satisfies readonly Command[];
 }
 
-function createRenewal(index: number, version: number): Renew {
+function createRenewal(index: number, version: number): RenewRequest {
 	return {
 		type: 'renew', id: 12_345, host: `host-${index}`, boot: '5d1f8f0e-9f6c-4f5e-b0b6-1f2e3d4c5b6a', version, running: [], announcements: [], demand: Array.from({length: 13}, (_, model) => ({model: `model-${model}`, prefill: 1.25, decode: 3.5})), leaving: false,
 	};
 }
 
-function createRenewed(leaseMs: number, view: ReturnType<ControlState['updateSince']>): Message {
+function createRenewed(leaseMs: number, view: ReturnType<ControlState['createViewUpdate']>): Message {
 	const members = Array.from({length: 5}, (_, index) => ({
 		replica: `5d1f8f0e-9f6c-4f5e-b0b6-1f2e3d4c5b6${index}`, host: `host-${index}`, address: '10.20.1.1', port: 7400,
 	}));
@@ -360,6 +360,6 @@
 
 function createCandidate(index: number): Candidate {
 	return {
-		server: `server-${index}`, role: 'decode', dataCentre: 'a', load: {requests: index % 30, prefillTokens: 100, decodeTokens: 5000}, speed: DEFAULT_SPEED, cachedTokens: 0, maxRunning: 42, kvTokens: 64_000,
+		server: `server-${index}`, role: 'decode', dataCentre: 'a', load: {requests: index % 30, prefillTokens: 100, decodeTokens: 5000}, speed: DEFAULT_ENGINE_SPEED, cachedTokens: 0, maxRunning: 42, kvTokens: 64_000,
 	};
 }
--- a/src/entry/model.ts
+++ b/src/entry/model.ts
@@ -6,21 +6,21 @@
 import type {Buffer} from 'node:buffer';
 import net from 'node:net';
 import * as Either from 'fp-ts/lib/Either.js';
-import {pause, type Clock} from '../base/clock.js';
+import {sleep, type Clock} from '../base/clock.js';
 import type {Logger} from '../base/logger.js';
 import {createProblem, type Problem} from '../base/problem.js';
 import {shuffle, type Random} from '../base/random.js';
 import type {
-	Announcement, Fact, Model, Team,
+	Announcement, Fact, ModelSpecification, TeamSpecification,
 } from '../generated/types.js';
 import type {Directory} from '../membership/directory.js';
 import {
-	chooseEngine, DEFAULT_TARGETS, isPrefillWork, meetsTargets, type Candidate, type Decision, type RequestShape,
+	chooseEngine, DEFAULT_LATENCY_TARGETS, isPrefillWork, meetsTargets, type Candidate, type EngineChoice, type RequestShape,
 } from '../routing/choice.js';
 import {placeContinuation, placeRequest} from '../routing/handoff.js';
 import {RetryBudget} from '../routing/health.js';
-import {Admission, PromiseMargin, type AdmissionEvent} from '../routing/limit.js';
-import {judgeRequest, VERDICTS, type CrashRecord} from '../routing/poison.js';
+import {AdmissionController, AdmissionMargin, type AdmissionEvent} from '../routing/admission.js';
+import {classifyRequest, POISON_STATES, type CrashRecord} from '../routing/poison.js';
 import {hashBlocks} from '../routing/prefix.js';
 import {
 	APIS, parseCompletionRequest, EventStreamWriter, JsonWriter, type ResponseWriter, type Api, type CompletionRequest,
@@ -89,8 +89,8 @@
 	readonly #options: ModelHandlerOptions;
 	readonly #budget = new RetryBudget();
 	/** Margins for requests that are mostly prefill work and for all others. */
-	readonly #margins = {prefill: new PromiseMargin(), decode: new PromiseMargin()};
-	readonly #admissions = new Map<string, Admission>();
+	readonly #margins = {prefill: new AdmissionMargin(), decode: new AdmissionMargin()};
+	readonly #admissions = new Map<string, AdmissionController>();
 	readonly #waiting = new Map<string, (event: AdmissionEvent) => void>();
 	readonly #timer: NodeJS.Timeout;
 
@@ -105,7 +105,7 @@
 		return this.#options;
 	}
 
-	selectMargin(shape: RequestShape): PromiseMargin {
+	selectMargin(shape: RequestShape): AdmissionMargin {
 		return isPrefillWork(shape) ? this.#margins.prefill : this.#margins.decode;
 	}
 
@@ -128,19 +128,19 @@
 	/** Waits for admission. Returns a problem if it is refused. */
 	async admit(id: string, request: CompletionRequest, shape: RequestShape, limits: {team: string; startByMs: number}): Promise<Problem | undefined> {
 		const {view, pool, clock} = this.#options;
-		const team = view.get('team', limits.team)?.specification as Team | undefined;
+		const team = view.get('team', limits.team)?.specification as TeamSpecification | undefined;
 		const offer = {
 			id,
 			team: limits.team,
 			weight: team?.weight ?? 1,
 			tokens: shape.promptTokens + shape.outputTokens,
-			teamLimit: team?.tokensInFlight ?? Number.POSITIVE_INFINITY,
-			startByMs: limits.startByMs,
+			teamTokenLimit: team?.tokensInFlight ?? Number.POSITIVE_INFINITY,
+			latestStartMs: limits.startByMs,
 		};
 		const event = await new Promise<AdmissionEvent>(resolve => {
 			this.#waiting.set(id, resolve);
 			const admission = this.#admissionOf(request.model);
-			this.#dispatch(admission.offer(offer, pool.computeCapacityTokens(request.model), clock.monotonicMs()));
+			this.#dispatch(admission.submit(offer, pool.computeCapacityTokens(request.model), clock.monotonicMs()));
 		});
 		if (event.type === 'start') {
 			return undefined;
@@ -155,7 +155,7 @@
 		this.#dispatch([{
 			type: 'refuse', id, reason: 'capacity', retryAfterSeconds: 1,
 		}]);
-		this.#dispatch(this.#admissionOf(model).end(id, pool.computeCapacityTokens(model), clock.monotonicMs()));
+		this.#dispatch(this.#admissionOf(model).complete(id, pool.computeCapacityTokens(model), clock.monotonicMs()));
 	}
 
 	close(): void {
@@ -166,7 +166,7 @@
 		let waiting = 0;
 		let running = 0;
 		for (const [model, admission] of this.#admissions) {
-			this.#dispatch(admission.pump(this.#options.pool.computeCapacityTokens(model), this.#options.clock.monotonicMs()));
+			this.#dispatch(admission.dispatch(this.#options.pool.computeCapacityTokens(model), this.#options.clock.monotonicMs()));
 			waiting += admission.waitingCount;
 			running += admission.runningCount;
 		}
@@ -183,10 +183,10 @@
 		}
 	}
 
-	#admissionOf(model: string): Admission {
+	#admissionOf(model: string): AdmissionController {
 		let admission = this.#admissions.get(model);
 		if (!admission) {
-			admission = new Admission();
+			admission = new AdmissionController();
 			this.#admissions.set(model, admission);
 		}
 
@@ -248,8 +248,8 @@
 		this.#deadlineMs = this.#startedMs + this.#readDeadline();
 		const firstTokenMs = Number(readHeader(exchange.request, 'carawayhoist-first-token-ms'));
 		this.#firstTokenMs = firstTokenMs > 0 ? firstTokenMs : undefined;
-		const model = handler.options.view.get('model', request.model)?.specification as Model | undefined;
-		this.#targetMs = this.#firstTokenMs ?? model?.firstTokenMs ?? DEFAULT_TARGETS.firstTokenMs;
+		const model = handler.options.view.get('model', request.model)?.specification as ModelSpecification | undefined;
+		this.#targetMs = this.#firstTokenMs ?? model?.firstTokenMs ?? DEFAULT_LATENCY_TARGETS.firstTokenMs;
 		this.#team = readHeader(exchange.request, 'carawayhoist-team') ?? 'default';
 		exchange.response.once('close', () => {
 			this.#onCallerGone();
@@ -287,7 +287,7 @@
 	}
 
 	#judgePoison(): Problem | undefined {
-		return this.#verdict() === VERDICTS.poisoned ? createProblem('poisoned') : undefined;
+		return this.#verdict() === POISON_STATES.poisoned ? createProblem('poisoned') : undefined;
 	}
 
 	#judgeModel(): Problem | undefined {
@@ -297,7 +297,7 @@
 	}
 
 	#verdict() {
-		return judgeRequest(this.#listCrashes());
+		return classifyRequest(this.#listCrashes());
 	}
 
 	#listCrashes(): CrashRecord {
@@ -306,7 +306,7 @@
 
 	async #runAttempts(): Promise<Problem | undefined> {
 		const {clock, metrics} = this.#handler.options;
-		this.#handler.retryBudget.noteRequest();
+		this.#handler.retryBudget.recordRequest();
 		this.#handler.options.pool.recordDemand(this.#request.model, this.#shape);
 		let last = createProblem('noServer', undefined, 1);
 		while (!this.#isGone && clock.monotonicMs() < this.#deadlineMs) {
@@ -325,7 +325,7 @@
 				return last;
 			}
 
-			await pause(step.pauseMs);
+			await sleep(step.pauseMs);
 		}
 
 		return clock.monotonicMs() >= this.#deadlineMs ? createProblem('deadlineExceeded') : last;
@@ -333,11 +333,11 @@
 
 	async #runOne(): Promise<NextStep> {
 		const verdict = this.#verdict();
-		if (verdict === VERDICTS.poisoned) {
+		if (verdict === POISON_STATES.poisoned) {
 			return {type: 'fail', problem: createProblem('poisoned')};
 		}
 
-		if (verdict === VERDICTS.suspect && !this.#quarantineLock) {
+		if (verdict === POISON_STATES.suspect && !this.#quarantineLock) {
 			const isHeld = await this.#acquireQuarantineLock();
 			return isHeld
 				? this.#runOne()
@@ -363,7 +363,7 @@
 		return this.#judgeEnd(result, server);
 	}
 
-	#choose(): Decision | undefined {
+	#choose(): EngineChoice | undefined {
 		const {pool, random} = this.#handler.options;
 		const {model, prompt} = this.#request;
 		const fresh = this.#fresh;
@@ -378,19 +378,19 @@
 		return this.#tokens === 0 ? this.#place(wanted) : placeContinuation(this.#shape, wanted, random);
 	}
 
-	#place(candidates: readonly Candidate[]): Decision | undefined {
+	#place(candidates: readonly Candidate[]): EngineChoice | undefined {
 		const placement = placeRequest(this.#shape, candidates, this.#handler.options.random);
 		this.#handsOff = placement?.handsOff ?? false;
 		return placement?.first;
 	}
 
 	/** Rejects a request whose first token is expected later than the caller demands. */
-	#judgePromise(decision: Decision): Problem | undefined {
+	#judgePromise(decision: EngineChoice): Problem | undefined {
 		if (this.#firstTokenMs === undefined || this.#tokens > 0) {
 			return undefined;
 		}
 
-		const targets = {...DEFAULT_TARGETS, firstTokenMs: this.#firstTokenMs - (this.#now() - this.#startedMs)};
+		const targets = {...DEFAULT_LATENCY_TARGETS, firstTokenMs: this.#firstTokenMs - (this.#now() - this.#startedMs)};
 		const isPromised = meetsTargets(decision.cost, targets, this.#handler.selectMargin(this.#shape).share);
 		return isPromised ? undefined : createProblem('noCapacity', 'The first token would come too late.', 1);
 	}
@@ -420,7 +420,7 @@
 		return this.#quarantineLock !== undefined;
 	}
 
-	#logDecision(decision: Decision): void {
+	#logDecision(decision: EngineChoice): void {
 		const {logger} = this.#handler.options;
 		const considered = decision.considered.map(({server, totalMs}) => `${server}:${Math.round(totalMs)}`);
 		logger.info(`Sending request to ${decision.server}.`, {
@@ -429,7 +429,7 @@
 		this.#note(`Attempt ${this.#attempts} goes to engine ${decision.server} (${decision.reason}; ${considered.length} engines compared, expected first token in ${Math.round(decision.cost.firstTokenMs)} ms).`);
 	}
 
-	async #attempt(server: Announcement, decision: Decision): Promise<AttemptResult> {
+	async #attempt(server: Announcement, decision: EngineChoice): Promise<AttemptResult> {
 		const {engineClient, pool, clock} = this.#handler.options;
 		const id = `${this.#exchange.id}.${this.#attempts}`;
 		this.#isFirstOfAttempt = true;
@@ -437,7 +437,7 @@
 		const handoff = this.#handsOff ? {handoff: true} : {};
 		const imported = this.#import ? {kv: this.#import} : {};
 		const cachedTokens = pool.prefixes.countCached(server.server, hashBlocks(this.#request.prompt)) * TOKENS_PER_PREFIX_BLOCK;
-		pool.loads.begin(server.server, id, {
+		pool.loads.startRequest(server.server, id, {
 			prefillTokens: Math.max(0, this.#shape.promptTokens - (this.#import ? this.#shape.promptTokens : cachedTokens)),
 			outputTokens: this.#shape.outputTokens,
 			promptTokens: this.#shape.promptTokens,
@@ -450,7 +450,7 @@
 			},
 			offset: this.#tokens,
 			firstEventTimeoutMs: this.#firstEventLimit(decision),
-			eventTimeoutMs: pool.progress.gapLimitMs(server.server),
+			eventTimeoutMs: pool.progress.stallTimeoutMs(server.server),
 			usesNewConnection: this.#fresh === server.server,
 			priority: readHeader(this.#exchange.request, 'carawayhoist-priority') === 'background' ? PRIORITY.background : PRIORITY.interactive,
 			onToken: text => {
@@ -477,11 +477,11 @@
 		const result = await attempt.result;
 		clearTimeout(deadline);
 		this.#cancel = undefined;
-		pool.loads.end(server.server, id);
+		pool.loads.endRequest(server.server, id);
 		return result;
 	}
 
-	#firstEventLimit(decision: Decision): number {
+	#firstEventLimit(decision: EngineChoice): number {
 		const expected = decision.cost.firstTokenMs * FIRST_EVENT_FACTOR;
 		return Math.min(LONGEST_FIRST_EVENT_MS, Math.max(SHORTEST_FIRST_EVENT_MS, expected));
 	}
@@ -491,16 +491,16 @@
 		const nowMs = clock.monotonicMs();
 		if (this.#isFirstOfAttempt) {
 			this.#isFirstOfAttempt = false;
-			pool.loads.noteFirstToken(server, attempt);
+			pool.loads.recordFirstToken(server, attempt);
 		}
 
 		if (this.#tokens === 0) {
 			const firstMs = nowMs - this.#startedMs;
 			metrics.firstToken.observe(firstMs / 1000);
-			this.#handler.selectMargin(this.#shape).note(firstMs <= this.#targetMs);
+			this.#handler.selectMargin(this.#shape).record(firstMs <= this.#targetMs);
 		} else {
 			metrics.betweenTokens.observe((nowMs - this.#lastTokenMs) / 1000);
-			pool.progress.noteGap(server, nowMs - this.#lastTokenMs);
+			pool.progress.recordGap(server, nowMs - this.#lastTokenMs);
 		}
 
 		this.#lastTokenMs = nowMs;
@@ -553,7 +553,7 @@
 			case 'refused': {
 				this.#note(`Engine ${server.server} refused it (${result.status}).`);
 				this.#excluded.add(server.server);
-				if (result.status === 429 && !this.#handler.retryBudget.take()) {
+				if (result.status === 429 && !this.#handler.retryBudget.tryAcquire()) {
 					return {type: 'fail', problem: createProblem('noCapacity', undefined, 1)};
 				}
 
@@ -568,7 +568,7 @@
 			}
 
 			case 'unreachable': {
-				pool.health.noteFailure(server.server, this.#now());
+				pool.health.recordFailure(server.server, this.#now());
 				this.#excluded.add(server.server);
 				this.#note(`Engine ${server.server} could not be reached.`);
 				return {
@@ -586,7 +586,7 @@
 	#onHandoff(handle: string, server: Announcement): NextStep {
 		this.#handsOff = false;
 		this.#import = {address: server.address, port: server.port, handle};
-		this.#handler.options.pool.prefixes.note(server.server, hashBlocks(this.#request.prompt));
+		this.#handler.options.pool.prefixes.record(server.server, hashBlocks(this.#request.prompt));
 		this.#note(`Engine ${server.server} has computed the prompt; its KV cache is handed over.`);
 		return {
 			type: 'again', sameServer: false, reason: 'handoff', pauseMs: 0,
@@ -596,7 +596,7 @@
 	#noteLoad(server: string, header: string): void {
 		const load = parseLoad(header);
 		if (load) {
-			this.#handler.options.pool.loads.report(server, load, this.#now());
+			this.#handler.options.pool.loads.recordReport(server, load, this.#now());
 		}
 	}
 
@@ -604,7 +604,7 @@
 	#onSilent(server: Announcement, wasFresh: boolean, reason: string): NextStep {
 		this.#note(`Nothing usable came from engine ${server.server} on ${wasFresh ? 'a new' : 'an open'} connection (${reason}).`);
 		if (wasFresh) {
-			this.#handler.options.pool.health.noteFailure(server.server, this.#now());
+			this.#handler.options.pool.health.recordFailure(server.server, this.#now());
 			this.#excluded.add(server.server);
 		} else {
 			this.#fresh = server.server;
@@ -628,7 +628,7 @@
 		}
 
 		this.#note(`Engine ${server.server} died while it ran this request.`);
-		pool.health.noteFailure(server.server, this.#now());
+		pool.health.recordFailure(server.server, this.#now());
 		this.#excluded.add(server.server);
 		this.#quarantineLock?.release();
 		this.#quarantineLock = undefined;
@@ -640,7 +640,7 @@
 
 	/** Probes an engine again that seemed alive after its connection broke. */
 	async #lookAgain(server: Announcement): Promise<void> {
-		await pause(SECOND_LOOK_MS);
+		await sleep(SECOND_LOOK_MS);
 		const current = this.#handler.options.pool.findServer(server.server) ?? server;
 		if (current.incarnation !== server.incarnation || !(await probe(server))) {
 			this.#note(`Engine ${server.server} has died since its connection broke.`);
@@ -664,7 +664,7 @@
 	#blameRepeatedBreaks(server: Announcement): void {
 		if (this.#brokenAt.has(server.server)) {
 			this.#excluded.add(server.server);
-			this.#handler.options.pool.health.noteFailure(server.server, this.#now());
+			this.#handler.options.pool.health.recordFailure(server.server, this.#now());
 		}
 
 		this.#brokenAt.add(server.server);
@@ -673,12 +673,12 @@
 	#onComplete(result: Extract<AttemptResult, {type: 'complete'}>, server: Announcement): void {
 		const {pool} = this.#handler.options;
 		const hashes = hashBlocks(this.#request.prompt);
-		pool.health.noteSuccess(server.server);
+		pool.health.recordSuccess(server.server);
 		if (result.cachedTokens !== undefined) {
-			pool.prefixes.confirm(server.server, pool.prefixes.countSeen(hashes), result.cachedTokens / TOKENS_PER_PREFIX_BLOCK);
+			pool.prefixes.recordHits(server.server, pool.prefixes.countSeen(hashes), result.cachedTokens / TOKENS_PER_PREFIX_BLOCK);
 		}
 
-		pool.prefixes.note(server.server, hashes);
+		pool.prefixes.record(server.server, hashes);
 
 		if (this.#quarantineLock) {
 			this.#clearSuspicion();
--- a/src/entry/operator.ts
+++ b/src/entry/operator.ts
@@ -11,10 +11,10 @@
 import {request as httpRequest} from 'undici';
 import type {Clock} from '../base/clock.js';
 import {createProblem, findProblemName, type Problem} from '../base/problem.js';
-import {formatFaults, validate} from '../base/validate.js';
+import {formatValidationErrors, validate} from '../base/validate.js';
 import type {ControlClient} from '../control/client.js';
 import type {
-	Members, Peer, Proposed, Resource, ViewUpdate,
+	MembersRequest, Peer, ProposeReply, Resource, ViewUpdate,
 } from '../generated/types.js';
 import type {Directory} from '../membership/directory.js';
 import {
@@ -114,7 +114,7 @@
 	}
 
 	async #read(exchange: Exchange, kind: string | undefined, name: string | undefined): Promise<void> {
-		const listing = await this.#options.client.read(-1)();
+		const listing = await this.#options.client.readResources(-1)();
 		if (Either.isLeft(listing)) {
 			sendProblem(exchange, listing.left);
 			return;
@@ -145,7 +145,7 @@
 		const {seen = -1, specification} = parsed.right;
 		const checked = validate('Specification', specification);
 		if (Either.isLeft(checked)) {
-			sendProblem(exchange, createProblem('resourceInvalid', formatFaults(checked.left)));
+			sendProblem(exchange, createProblem('resourceInvalid', formatValidationErrors(checked.left)));
 			return;
 		}
 
@@ -204,7 +204,7 @@
 		response.once('close', ring);
 		while (!response.destroyed) {
 			const wake = once(alarm, 'ring');
-			const listing = await this.#options.client.read(from)();
+			const listing = await this.#options.client.readResources(from)();
 			const update = Either.isRight(listing) ? listing.right.view : undefined;
 			if (update && (update.version > from || !response.headersSent)) {
 				from = Math.max(from, update.version);
@@ -229,7 +229,7 @@
 	}
 
 	async #handleMembers(exchange: Exchange, body: Buffer): Promise<void> {
-		let message: Omit<Members, 'id'> = {type: 'members', action: 'list'};
+		let message: Omit<MembersRequest, 'id'> = {type: 'members', action: 'list'};
 		if (exchange.method === 'POST') {
 			const parsed = parseJson(body);
 			if (Either.isLeft(parsed)) {
@@ -239,17 +239,17 @@
 
 			const checked = validate('Message', {...parsed.right, type: 'members', id: 0});
 			if (Either.isLeft(checked)) {
-				sendProblem(exchange, createProblem('badRequest', formatFaults(checked.left)));
+				sendProblem(exchange, createProblem('badRequest', formatValidationErrors(checked.left)));
 				return;
 			}
 
-			const {action, member, replica} = parsed.right as {action: Members['action']; member?: Peer; replica?: string};
+			const {action, member, replica} = parsed.right as {action: MembersRequest['action']; member?: Peer; replica?: string};
 			message = {
 				type: 'members', action, ...(member ? {member} : {}), ...(replica === undefined ? {} : {replica}),
 			};
 		}
 
-		const reply = await this.#options.client.members(message)();
+		const reply = await this.#options.client.manageMembers(message)();
 		if (Either.isLeft(reply)) {
 			sendProblem(exchange, reply.left);
 			return;
@@ -315,7 +315,7 @@
 	response.write(`${JSON.stringify(update)}\n`);
 }
 
-function sendOutcome(exchange: Exchange, proposed: Either.Either<Problem, Proposed>): void {
+function sendOutcome(exchange: Exchange, proposed: Either.Either<Problem, ProposeReply>): void {
 	if (Either.isLeft(proposed)) {
 		sendProblem(exchange, proposed.left);
 		return;
@@ -326,9 +326,9 @@
 		const problem = {...createProblem(findProblemName(outcome.code)), text: outcome.text};
 		sendJson(exchange, problem.status, {
 			error: {
-				message: outcome.text, code: outcome.code, name: problem.name, outcome: problem.verdict, version: outcome.version,
+				message: outcome.text, code: outcome.code, name: problem.name, outcome: problem.outcome, version: outcome.version,
 			},
-		}, {'carawayhoist-code': String(outcome.code), 'carawayhoist-outcome': problem.verdict});
+		}, {'carawayhoist-code': String(outcome.code), 'carawayhoist-outcome': problem.outcome});
 		return;
 	}
 
--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -7,13 +7,13 @@
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 import * as Either from 'fp-ts/lib/Either.js';
-import {pause, type Clock} from '../base/clock.js';
+import {sleep, type Clock} from '../base/clock.js';
 import type {Logger} from '../base/logger.js';
 import {createProblem, type Problem} from '../base/problem.js';
 import {pick, type Random} from '../base/random.js';
 import type {ControlClient} from '../control/client.js';
 import type {
-	Announcement, LedgerAnswer, Route, Service, Settle,
+	Announcement, LedgerOutcome, Route, ServiceSpecification, SettleCommand,
 } from '../generated/types.js';
 import {readHeader, sendProblem, type Exchange} from './exchange.js';
 import type {ServerPool} from './pool.js';
@@ -78,7 +78,7 @@
 	/** Finds the declared route that matches a call. */
 	matchRoute(method: string, path: string): RouteMatch | undefined {
 		for (const resource of this.#options.view.list('service')) {
-			const {routes} = resource.specification as Service;
+			const {routes} = resource.specification as ServiceSpecification;
 			const route = routes.find(candidate => candidate.method === method && matchesPath(candidate.path, path));
 			if (route) {
 				return {service: resource.name, route};
@@ -100,7 +100,7 @@
 		const outcome = Either.isRight(result) ? 'done' : result.left.name;
 		metrics.requests.inc({kind, outcome});
 		if (Either.isLeft(result)) {
-			journal.end(exchange.id, `Refused with code ${result.left.code} (${result.left.verdict}): ${result.left.text}`, clock.wallMs());
+			journal.end(exchange.id, `Refused with code ${result.left.code} (${result.left.outcome}): ${result.left.text}`, clock.wallMs());
 			sendProblem(exchange, result.left);
 			return;
 		}
@@ -123,14 +123,14 @@
 			const timeoutMs = attempt === 1 ? Math.min(leftMs, Math.max(500, leftMs / 3)) : leftMs;
 			const result = await this.#send(call, server, {attempt, timeoutMs, isFresh: attempt > 1});
 			if (result.type === 'response') {
-				pool.health.noteSuccess(server.server);
+				pool.health.recordSuccess(server.server);
 				return Either.right(result.response);
 			}
 
 			metrics.retries.inc({reason: result.type});
 			if (result.type === 'not-run' || attempt > 1) {
 				tried.add(server.server);
-				pool.health.noteFailure(server.server, clock.monotonicMs());
+				pool.health.recordFailure(server.server, clock.monotonicMs());
 			}
 		}
 
@@ -182,12 +182,12 @@
 			}
 
 			this.#note(call, `The same key is in flight through host ${claim.right.host}; this call waits for that answer.`);
-			await pause(pollMs);
+			await sleep(pollMs);
 			pollMs = Math.min(LONGEST_POLL_MS, pollMs * 2);
 		}
 	}
 
-	async #claim(claimed: Claimed, fingerprint: string): Promise<Either.Either<Problem, LedgerAnswer>> {
+	async #claim(claimed: Claimed, fingerprint: string): Promise<Either.Either<Problem, LedgerOutcome>> {
 		const {client, clock, host} = this.#options;
 		const proposed = await client.propose({
 			type: 'claim', at: clock.wallMs(), key: claimed.key, fingerprint, attempt: claimed.attempt, host,
@@ -221,7 +221,7 @@
 		this.#settleInBackground(claimed, {outcome: 'not-run'});
 	}
 
-	#settleInBackground(claimed: Claimed, settlement: Pick<Settle, 'outcome' | 'answer'>): void {
+	#settleInBackground(claimed: Claimed, settlement: Pick<SettleCommand, 'outcome' | 'answer'>): void {
 		const {client, clock} = this.#options;
 		void client.propose({
 			type: 'settle', at: clock.wallMs(), key: claimed.key, attempt: claimed.attempt, ...settlement,
@@ -246,7 +246,7 @@
 			}
 
 			tried.add(server.server);
-			pool.health.noteFailure(server.server, clock.monotonicMs());
+			pool.health.recordFailure(server.server, clock.monotonicMs());
 		}
 
 		return last;
@@ -272,7 +272,7 @@
 		const {plainClient, pool, clock} = this.#options;
 		const id = `${call.exchange.id}.${options.attempt}`;
 		this.#note(call, `It goes to server ${server.server}.`);
-		pool.loads.begin(server.server, id, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
+		pool.loads.startRequest(server.server, id, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
 		const result = await plainClient.send(server, {
 			id,
 			method: call.exchange.method,
@@ -282,7 +282,7 @@
 			timeoutMs: options.timeoutMs,
 			usesNewConnection: options.isFresh,
 		});
-		pool.loads.end(server.server, id);
+		pool.loads.endRequest(server.server, id);
 		if (result.type !== 'response') {
 			this.#note(call, `Server ${server.server}: ${result.text} (${result.type}).`);
 		}
@@ -307,7 +307,7 @@
 	return declared.endsWith('/*') ? path.startsWith(declared.slice(0, -1)) : declared === path;
 }
 
-function createSettlement(result: PlainResult): Pick<Settle, 'outcome' | 'answer'> {
+function createSettlement(result: PlainResult): Pick<SettleCommand, 'outcome' | 'answer'> {
 	if (result.type !== 'response') {
 		return {outcome: result.type};
 	}
@@ -334,7 +334,7 @@
 	}
 }
 
-function describeLedger(known: LedgerAnswer): Either.Either<Problem, PlainResponse> {
+function describeLedger(known: LedgerOutcome): Either.Either<Problem, PlainResponse> {
 	switch (known.state) {
 		case 'done': {
 			return known.answer
@@ -358,7 +358,7 @@
 	}
 }
 
-function describeKnown(known: LedgerAnswer): string {
+function describeKnown(known: LedgerOutcome): string {
 	const texts = {
 		granted: 'The key is free.',
 		'in-flight': 'The key is in flight.',
--- a/src/entry/view.ts
+++ b/src/entry/view.ts
@@ -11,10 +11,10 @@
 import type {Logger} from '../base/logger.js';
 import type {ControlClient} from '../control/client.js';
 import {
-	excludesServer, isOpenChange, resourceKey, type Kind,
+	excludesServer, isOpenChange, createResourceKey, type ResourceKind,
 } from '../control/state.js';
 import type {
-	Announcement, Change, ModelDemand, Renewed, Resource, Running, ViewUpdate,
+	Announcement, ChangeSpecification, ModelDemand, RenewReply, Resource, RunningCount, ViewUpdate,
 } from '../generated/types.js';
 
 const NO_VERSION = -1;
@@ -45,18 +45,18 @@
 		}
 
 		for (const resource of update.resources) {
-			this.#resources.set(resourceKey(resource.specification.kind, resource.name), resource);
+			this.#resources.set(createResourceKey(resource.specification.kind, resource.name), resource);
 		}
 
 		this.#version = update.version;
 		return true;
 	}
 
-	get(kind: Kind, name: string): Resource | undefined {
-		return this.#resources.get(resourceKey(kind, name));
+	get(kind: ResourceKind, name: string): Resource | undefined {
+		return this.#resources.get(createResourceKey(kind, name));
 	}
 
-	list(kind?: Kind): Resource[] {
+	list(kind?: ResourceKind): Resource[] {
 		const all = [...this.#resources.values()];
 		return kind === undefined ? all : all.filter(resource => resource.specification.kind === kind);
 	}
@@ -69,7 +69,7 @@
 	/** Lists the servers that unfinished changes affect, replacements included. */
 	listChangingServers(): string[] {
 		const servers = this.list('change').filter(resource => isOpenChange(resource)).flatMap(resource => {
-			const {server, replacement} = resource.specification as Change;
+			const {server, replacement} = resource.specification as ChangeSpecification;
 			return replacement === undefined ? [server] : [server, replacement];
 		});
 		return [...new Set(servers)];
@@ -133,7 +133,7 @@
 	}
 
 	/** Applies an update that the leader pushed. */
-	receivePush(message: Renewed): void {
+	receivePush(message: RenewReply): void {
 		if (this.#hasRead) {
 			this.#apply(message);
 			this.#schedule(0);
@@ -143,7 +143,7 @@
 	/** Releases the lease, so that no change waits for this host any longer. */
 	async releaseLease(): Promise<void> {
 		this.#isLeaving = true;
-		await this.#options.client.renew(this.#createRenewal())();
+		await this.#options.client.renewViewLease(this.#createRenewal())();
 	}
 
 	close(): void {
@@ -181,7 +181,7 @@
 
 	/** Reads the initial view with the confirmation of a majority, because a single replica may be behind. */
 	async #readFirst(): Promise<void> {
-		const listing = await this.#options.client.read(NO_VERSION)();
+		const listing = await this.#options.client.readResources(NO_VERSION)();
 		if (Either.isRight(listing)) {
 			this.#options.view.apply(listing.right.view);
 			this.#hasRead = true;
@@ -193,7 +193,7 @@
 	async #renewLease(): Promise<void> {
 		// The lease starts before the request is sent, so that it expires here before it expires at the leader.
 		const askedMs = this.#options.clock.monotonicMs();
-		const renewed = await this.#options.client.renew(this.#createRenewal())();
+		const renewed = await this.#options.client.renewViewLease(this.#createRenewal())();
 		if (Either.isLeft(renewed)) {
 			this.#options.logger.debug('Failed to renew the view lease.', {code: renewed.left.code});
 			return;
@@ -204,17 +204,17 @@
 		this.#apply(renewed.right);
 	}
 
-	#createRenewal(): Parameters<ControlClient['renew']>[0] {
+	#createRenewal(): Parameters<ControlClient['renewViewLease']>[0] {
 		const {view, host, boot} = this.#options;
 		const servers = view.listChangingServers();
-		const running: Running[] = servers.map(server => ({server, count: this.#options.countRunning(server)}));
+		const running: RunningCount[] = servers.map(server => ({server, count: this.#options.countRunning(server)}));
 		const announcements = servers.map(server => this.#options.findAnnouncement(server)).filter(found => found !== undefined);
 		return {
 			type: 'renew', host, boot, version: view.version, running, announcements, demand: this.#options.readDemand(), leaving: this.#isLeaving,
 		};
 	}
 
-	#apply(message: Renewed): void {
+	#apply(message: RenewReply): void {
 		const {view, client, logger} = this.#options;
 		const before = view.version;
 		client.updateMembers(message.members);
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type {Announcement, Sighting} from '../generated/types.js';
+import type {Announcement, ServerStatus} from '../generated/types.js';
 
 /**
  * The result of merging an announcement: `none` if it was outdated, `refresh` if only its sequence number or load is
@@ -55,12 +55,12 @@
 		return this.#revision;
 	}
 
-	findStatus(server: string): Sighting | undefined {
+	findStatus(server: string): ServerStatus | undefined {
 		const row = this.#rows.get(server);
 		return row && toSighting(row);
 	}
 
-	listStatuses(): Sighting[] {
+	listStatuses(): ServerStatus[] {
 		return [...this.#rows.values()].map(row => toSighting(row));
 	}
 
@@ -77,8 +77,8 @@
 	}
 
 	/** Lists the servers that changed after a revision and, with `refreshes`, those that only announced themselves again. */
-	listChangedSince(revision: number, refreshes: boolean): Sighting[] {
-		const result: Sighting[] = [];
+	listChangedSince(revision: number, refreshes: boolean): ServerStatus[] {
+		const result: ServerStatus[] = [];
 		for (const row of this.#rows.values()) {
 			if ((refreshes ? Math.max(row.changed, row.refreshed) : row.changed) > revision) {
 				result.push(toSighting(row));
@@ -123,7 +123,7 @@
 	 * Merges the status of a server on another host. That the server is silent there is ignored, because its
 	 * announcements may still arrive here; that it has deregistered counts here, too.
 	 */
-	mergeStatus({announcement, gone, silent}: Sighting, nowMs: number): MergeResult {
+	mergeStatus({announcement, gone, silent}: ServerStatus, nowMs: number): MergeResult {
 		const merge = silent ? MERGE_RESULTS.none : this.merge(announcement, nowMs);
 		const known = this.#rows.get(announcement.server);
 		if (gone && known?.announcement.incarnation === announcement.incarnation && this.deregister(announcement.server)) {
@@ -201,6 +201,6 @@
 		&& a.models?.join(',') === b.models?.join(',');
 }
 
-function toSighting({announcement, gone, silent}: Row): Sighting {
+function toSighting({announcement, gone, silent}: Row): ServerStatus {
 	return {announcement, gone, silent};
 }
--- a/test/handoff.test.ts
+++ b/test/handoff.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
-import {streamCompletion} from '../dev/calls.js';
+import {streamCompletion} from '../dev/client.js';
 import {waitUntil} from '../dev/fleet.js';
 import {FakeEngine} from '../fakes/engine.js';
 import {startFixture, type Fixture} from './fixture.js';
@@ -12,7 +12,7 @@
 before(async () => {
 	fixture = await startFixture();
 	const add = async (name: string, role: 'prefill' | 'decode') => fixture.add(entries => new FakeEngine({
-		name, entries, role, announceEveryMs: 50, stepMs: 2, awayMs: 50,
+		name, entries, role, announceIntervalMs: 50, stepMs: 2, orderDurationMs: 50,
 	}));
 	prefill = await add('p1', 'prefill');
 	decode = await add('d1', 'decode');
@@ -25,14 +25,14 @@
 test('a long prompt is prefilled at the prefill engine, and the decode engine continues from its KV cache', async () => {
 	const content = 'a long track about barley. '.repeat(400);
 	const answer = await streamCompletion(fixture.url, {model: 'summary-1', content});
-	assert.ok(answer.isWhole);
+	assert.ok(answer.isComplete);
 	assert.equal(await importsOf(decode), 1);
 	assert.equal(await importsOf(prefill), 0);
 });
 
 test('a short prompt is sent directly to the decode engine', async () => {
 	const answer = await streamCompletion(fixture.url, {model: 'chat-1', content: 'compare'});
-	assert.ok(answer.isWhole);
+	assert.ok(answer.isComplete);
 	assert.equal(await importsOf(decode), 1);
 });
 
@@ -63,7 +63,7 @@
 
 test('with automatic roles the leader changes an engine\'s role when the demand shifts, and records the reason', async () => {
 	await fixture.add(entries => new FakeEngine({
-		name: 'd2', entries, role: 'decode', announceEveryMs: 50, stepMs: 2, awayMs: 50,
+		name: 'd2', entries, role: 'decode', announceIntervalMs: 50, stepMs: 2, orderDurationMs: 50,
 	}));
 	await fixture.put('policy', 'roles', {
 		kind: 'policy', profile: 'tallgrass', automaticRoles: true, changeWeight: 0,
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -2,11 +2,11 @@
 import http from 'node:http';
 import net, {type AddressInfo} from 'node:net';
 import {after, before, test} from 'node:test';
-import {streamCompletion} from '../dev/calls.js';
+import {streamCompletion} from '../dev/client.js';
 import {findPort} from '../dev/fleet.js';
 import {FakeEngine} from '../fakes/engine.js';
-import {answerToken} from '../fakes/answer.js';
-import {replyJson} from '../fakes/backend.js';
+import {generateToken} from '../fakes/completion.js';
+import {sendJson} from '../fakes/backend.js';
 import {startFixture, type Fixture} from './fixture.js';
 
 let fixture: Fixture;
@@ -78,7 +78,7 @@
 	});
 	const engine = await fixture.add(entries => {
 		holder.engine = new FakeEngine({
-			name: 'behind', entries, announceEveryMs: 50, stepMs: 5, models: ['chat-1'], announcedPort: middle.port,
+			name: 'behind', entries, announceIntervalMs: 50, stepMs: 5, models: ['chat-1'], announcedPort: middle.port,
 		});
 		return holder.engine;
 	});
@@ -91,7 +91,7 @@
 			}
 		},
 	});
-	assert.ok(answer.isWhole);
+	assert.ok(answer.isComplete);
 	const {requests} = await (await fetch(`${engine.url}/runs`)).json() as {requests: Record<string, number>};
 	assert.equal(requests['user: silent'], 2);
 });
@@ -100,7 +100,7 @@
 	const faults: Fault[] = [
 		(_id, offset) => ({id: 'somebody-else', offset, choices: [{delta: {content: 'WRONG '}}]}),
 		(id, offset) => ({id, offset: offset + 1, choices: [{delta: {content: 'WRONG '}}]}),
-		(id, offset, prompt) => ({id, offset: 0, choices: [{delta: {content: offset === 0 ? answerToken(prompt, 0) : 'WRONG '}}]}),
+		(id, offset, prompt) => ({id, offset: 0, choices: [{delta: {content: offset === 0 ? generateToken(prompt, 0) : 'WRONG '}}]}),
 		() => undefined,
 	];
 	for (const [index, fault] of faults.entries()) {
@@ -111,11 +111,11 @@
 			odd.closeAllConnections();
 		});
 		await fixture.add(entries => new FakeEngine({
-			name: `sound-${index}`, entries, announceEveryMs: 50, stepMs: 1, models: [model],
+			name: `sound-${index}`, entries, announceIntervalMs: 50, stepMs: 1, models: [model],
 		}));
 		for (let send = 0; send < 6; send++) {
 			const answer = await streamCompletion(fixture.url, {model, content: `whole ${send}`});
-			assert.ok(answer.isWhole, `fault ${index}: ${answer.text.slice(0, 80)}`);
+			assert.ok(answer.isComplete, `fault ${index}: ${answer.text.slice(0, 80)}`);
 		}
 	}
 });
@@ -124,7 +124,7 @@
 async function startOddEngine(model: string, fault: Fault): Promise<http.Server> {
 	const server = http.createServer((request, response) => {
 		if (request.method !== 'POST') {
-			replyJson(response, 404, {});
+			sendJson(response, 404, {});
 			return;
 		}
 
