--- a/src/entry/completion.ts
+++ b/src/entry/completion.ts
@@ -38,7 +38,7 @@
  *
  * @example
  * ```ts
- * parseCompletion('chat', {model: 'chat-1', messages: [{role: 'user', content: 'Hello'}]});
+ * parseCompletionRequest('chat', {model: 'chat-1', messages: [{role: 'user', content: 'Hello'}]});
  * ```
  */
 export function parseCompletionRequest(api: Api, body: Readonly<Record<string, unknown>>): Either.Either<Problem, CompletionRequest> {
--- a/src/entry/engine.ts
+++ b/src/entry/engine.ts
@@ -89,7 +89,7 @@
 	 * @example
 	 * ```ts
 	 * const attempt = client.start(server, {id: 'r1.1', path: '/v1/chat/completions', …});
-	 * const end = await attempt.end;
+	 * const result = await attempt.result;
 	 * ```
 	 */
 	start(server: Announcement, attempt: AttemptOptions): RunningAttempt {
@@ -133,7 +133,7 @@
  *
  * @example
  * ```ts
- * formatHost('::1'); // '[::1]'
+ * formatUrlHost('::1'); // '[::1]'
  * ```
  */
 export function formatUrlHost(address: string): string {
--- a/src/entry/exchange.ts
+++ b/src/entry/exchange.ts
@@ -32,8 +32,8 @@
  * ```
  */
 export async function readBody(request: IncomingMessage, limits: BodyLimits): Promise<Either.Either<Problem, Buffer>> {
-	const declared = Number(request.headers['content-length'] ?? 0);
-	if (declared > limits.bodyBytes) {
+	const declaredLength = Number(request.headers['content-length'] ?? 0);
+	if (declaredLength > limits.bodyBytes) {
 		return Either.left(createProblem('bodyTooLarge', `At most ${limits.bodyBytes} bytes.`));
 	}
 
--- a/src/entry/model.ts
+++ b/src/entry/model.ts
@@ -64,30 +64,30 @@
 };
 
 const DEFAULT_DEADLINE_MS = 120_000;
-const DEFAULT_START_WITHIN_MS = 10_000;
-const LONGEST_FIRST_EVENT_MS = 30_000;
-const SHORTEST_FIRST_EVENT_MS = 3000;
-const FIRST_EVENT_FACTOR = 6;
+const MAX_ADMISSION_WAIT_MS = 10_000;
+const MAX_FIRST_EVENT_TIMEOUT_MS = 30_000;
+const MIN_FIRST_EVENT_TIMEOUT_MS = 3000;
+const FIRST_EVENT_TIMEOUT_FACTOR = 6;
 const MAX_ATTEMPTS = 12;
 const RETRY_PAUSE_MS = 50;
 const QUARANTINE_PAUSE_MS = 60;
 /** A suspected request is cleared once it has produced this many tokens more than it had at the crash. */
 const CLEARING_TOKENS = 4;
 const DEFAULT_OUTPUT_TOKENS = 200;
-const LIKELY_SHARE_OF_LIMIT = 0.6;
+const EXPECTED_SHARE_OF_MAX_TOKENS = 0.6;
 const PROBE_TIMEOUT_MS = 400;
 /** An engine is alive if it keeps a connection open this long. A dying process may still accept one for some milliseconds. */
 const PROBE_HOLD_MS = 100;
 /** Delay before an engine whose connection broke is probed again: a crash may show late, or only as a restart. */
-const SECOND_LOOK_MS = 500;
-const PUMP_MS = 250;
+const SECOND_PROBE_DELAY_MS = 500;
+const DISPATCH_INTERVAL_MS = 250;
 const PRIORITY = {interactive: 1, background: 0} as const;
 const ENGINE_PATHS = {chat: '/v1/chat/completions', text: '/v1/completions'} as const;
 
 /** Serves the requests for models on one entry host. Its creator must close it. */
 export class ModelHandler {
 	readonly #options: ModelHandlerOptions;
-	readonly #budget = new RetryBudget();
+	readonly #retryBudget = new RetryBudget();
 	/** Margins for requests that are mostly prefill work and for all others. */
 	readonly #margins = {prefill: new AdmissionMargin(), decode: new AdmissionMargin()};
 	readonly #admissions = new Map<string, AdmissionController>();
@@ -97,8 +97,8 @@
 	constructor(options: ModelHandlerOptions) {
 		this.#options = options;
 		this.#timer = setInterval(() => {
-			this.#pumpAll();
-		}, PUMP_MS);
+			this.#dispatchAll();
+		}, DISPATCH_INTERVAL_MS);
 	}
 
 	get options(): ModelHandlerOptions {
@@ -110,7 +110,7 @@
 	}
 
 	get retryBudget(): RetryBudget {
-		return this.#budget;
+		return this.#retryBudget;
 	}
 
 	/** Serves one request. */
@@ -126,21 +126,21 @@
 	}
 
 	/** Waits for admission. Returns a problem if it is refused. */
-	async admit(id: string, request: CompletionRequest, shape: RequestShape, limits: {team: string; startByMs: number}): Promise<Problem | undefined> {
+	async admit(id: string, request: CompletionRequest, shape: RequestShape, limits: {team: string; latestStartMs: number}): Promise<Problem | undefined> {
 		const {view, pool, clock} = this.#options;
 		const team = view.get('team', limits.team)?.specification as TeamSpecification | undefined;
-		const offer = {
+		const admissionRequest = {
 			id,
 			team: limits.team,
 			weight: team?.weight ?? 1,
 			tokens: shape.promptTokens + shape.outputTokens,
 			teamTokenLimit: team?.tokensInFlight ?? Number.POSITIVE_INFINITY,
-			latestStartMs: limits.startByMs,
+			latestStartMs: limits.latestStartMs,
 		};
 		const event = await new Promise<AdmissionEvent>(resolve => {
 			this.#waiting.set(id, resolve);
-			const admission = this.#admissionOf(request.model);
-			this.#dispatch(admission.submit(offer, pool.computeCapacityTokens(request.model), clock.monotonicMs()));
+			const admission = this.#getAdmission(request.model);
+			this.#notifyWaiting(admission.submit(admissionRequest, pool.computeCapacityTokens(request.model), clock.monotonicMs()));
 		});
 		if (event.type === 'start') {
 			return undefined;
@@ -149,24 +149,24 @@
 		return createProblem(event.reason === 'team' ? 'teamLimit' : 'noCapacity', undefined, event.retryAfterSeconds);
 	}
 
-	/** Withdraws a request from admission, whether it is waiting or running. */
+	/** Ends the admission of a request: it stops waiting, or its capacity is freed. */
 	release(id: string, model: string): void {
 		const {pool, clock} = this.#options;
-		this.#dispatch([{
+		this.#notifyWaiting([{
 			type: 'refuse', id, reason: 'capacity', retryAfterSeconds: 1,
 		}]);
-		this.#dispatch(this.#admissionOf(model).complete(id, pool.computeCapacityTokens(model), clock.monotonicMs()));
+		this.#notifyWaiting(this.#getAdmission(model).complete(id, pool.computeCapacityTokens(model), clock.monotonicMs()));
 	}
 
 	close(): void {
 		clearInterval(this.#timer);
 	}
 
-	#pumpAll(): void {
+	#dispatchAll(): void {
 		let waiting = 0;
 		let running = 0;
 		for (const [model, admission] of this.#admissions) {
-			this.#dispatch(admission.dispatch(this.#options.pool.computeCapacityTokens(model), this.#options.clock.monotonicMs()));
+			this.#notifyWaiting(admission.dispatch(this.#options.pool.computeCapacityTokens(model), this.#options.clock.monotonicMs()));
 			waiting += admission.waitingCount;
 			running += admission.runningCount;
 		}
@@ -175,15 +175,15 @@
 		this.#options.metrics.running.set(running);
 	}
 
-	#dispatch(events: readonly AdmissionEvent[]): void {
+	#notifyWaiting(events: readonly AdmissionEvent[]): void {
 		for (const event of events) {
-			const settle = this.#waiting.get(event.id);
+			const resolve = this.#waiting.get(event.id);
 			this.#waiting.delete(event.id);
-			settle?.(event);
+			resolve?.(event);
 		}
 	}
 
-	#admissionOf(model: string): AdmissionController {
+	#getAdmission(model: string): AdmissionController {
 		let admission = this.#admissions.get(model);
 		if (!admission) {
 			admission = new AdmissionController();
@@ -198,7 +198,7 @@
 type NextStep
 	= | {readonly type: 'done'}
 		| {readonly type: 'fail'; readonly problem: Problem}
-		| {readonly type: 'again'; readonly sameServer: boolean; readonly reason: string; readonly pauseMs: number};
+		| {readonly type: 'retry'; readonly sameServer: boolean; readonly reason: string; readonly pauseMs: number};
 
 /** Runs one request, in as many attempts as needed. */
 class ModelRun {
@@ -211,24 +211,27 @@
 	readonly #deadlineMs: number;
 	readonly #excluded = new Set<string>();
 	/** Engines whose connection broke although they stayed alive. */
-	readonly #brokenAt = new Set<string>();
+	readonly #brokenConnections = new Set<string>();
 	readonly #team: string;
-	#delivered = '';
-	#tokens = 0;
+	#deliveredText = '';
+	#tokenCount = 0;
 	#lastTokenMs = 0;
 	#attempts = 0;
-	#isGone = false;
+	#isCallerGone = false;
 	#cancel: (() => void) | undefined;
 	#quarantineLock: QuarantineLock | undefined;
-	#crashTokens = 0;
-	#fresh: string | undefined;
+	/** Number of tokens produced when the quarantine lock was acquired. */
+	#tokensAtCrash = 0;
+	/** Engine that the next attempt uses again, over a new connection. */
+	#reconnectServer: string | undefined;
 	/** Time to first token that the caller demands, milliseconds. */
-	readonly #firstTokenMs: number | undefined;
+	readonly #requestedFirstTokenMs: number | undefined;
 	/** Time to first token up to which the request counts as on time, milliseconds. */
-	readonly #targetMs: number;
-	#handsOff = false;
-	#isFirstOfAttempt = true;
-	#import: {readonly address: string; readonly port: number; readonly handle: string} | undefined;
+	readonly #firstTokenTargetMs: number;
+	#usesHandoff = false;
+	#isFirstToken = true;
+	/** Engine that holds the KV cache of the prefilled prompt, for the next attempt to import. */
+	#importSource: {readonly address: string; readonly port: number; readonly handle: string} | undefined;
 
 	constructor(handler: ModelHandler, exchange: Exchange, request: CompletionRequest) {
 		this.#handler = handler;
@@ -241,15 +244,15 @@
 		this.#writer = request.isStream ? new EventStreamWriter(options) : new JsonWriter(options);
 		this.#shape = {
 			promptTokens: Math.ceil(request.prompt.length / CHARACTERS_PER_TOKEN),
-			outputTokens: request.maxTokens === undefined ? DEFAULT_OUTPUT_TOKENS : Math.ceil(request.maxTokens * LIKELY_SHARE_OF_LIMIT),
+			outputTokens: request.maxTokens === undefined ? DEFAULT_OUTPUT_TOKENS : Math.ceil(request.maxTokens * EXPECTED_SHARE_OF_MAX_TOKENS),
 			dataCentre,
 		};
 		this.#startedMs = clock.monotonicMs();
 		this.#deadlineMs = this.#startedMs + this.#readDeadline();
 		const firstTokenMs = Number(readHeader(exchange.request, 'carawayhoist-first-token-ms'));
-		this.#firstTokenMs = firstTokenMs > 0 ? firstTokenMs : undefined;
+		this.#requestedFirstTokenMs = firstTokenMs > 0 ? firstTokenMs : undefined;
 		const model = handler.options.view.get('model', request.model)?.specification as ModelSpecification | undefined;
-		this.#targetMs = this.#firstTokenMs ?? model?.firstTokenMs ?? DEFAULT_LATENCY_TARGETS.firstTokenMs;
+		this.#firstTokenTargetMs = this.#requestedFirstTokenMs ?? model?.firstTokenMs ?? DEFAULT_LATENCY_TARGETS.firstTokenMs;
 		this.#team = readHeader(exchange.request, 'carawayhoist-team') ?? 'default';
 		exchange.response.once('close', () => {
 			this.#onCallerGone();
@@ -260,24 +263,24 @@
 		const {journal, clock, metrics} = this.#handler.options;
 		const {id} = this.#exchange;
 		journal.begin(id, `A request for model ${this.#request.model} with about ${this.#shape.promptTokens} prompt tokens`, clock.wallMs());
-		const startByMs = Math.min(this.#deadlineMs, this.#startedMs + DEFAULT_START_WITHIN_MS);
-		const refusal = this.#judgePoison() ?? this.#judgeModel() ?? await this.#handler.admit(id, this.#request, this.#shape, {team: this.#team, startByMs});
+		const latestStartMs = Math.min(this.#deadlineMs, this.#startedMs + MAX_ADMISSION_WAIT_MS);
+		const refusal = this.#checkPoison() ?? this.#checkModel() ?? await this.#handler.admit(id, this.#request, this.#shape, {team: this.#team, latestStartMs});
 		const problem = refusal ?? await this.#runAttempts();
 		this.#quarantineLock?.release();
 		this.#handler.release(id, this.#request.model);
-		const outcome = this.#isGone ? 'cancelled' : (problem ? problem.name : 'done');
+		const outcome = this.#isCallerGone ? 'cancelled' : (problem ? problem.name : 'done');
 		metrics.requests.inc({kind: 'model', outcome});
-		journal.end(id, this.#describeEnd(outcome, problem), clock.wallMs());
+		journal.end(id, this.#describeOutcome(outcome, problem), clock.wallMs());
 		this.#handler.options.onFinished?.({
 			startedAt: clock.wallMs() - (clock.monotonicMs() - this.#startedMs),
 			model: this.#request.model,
 			team: this.#team,
 			promptTokens: this.#shape.promptTokens,
-			outputTokens: this.#tokens,
+			outputTokens: this.#tokenCount,
 			outcome,
 		});
-		if (problem && !this.#isGone) {
-			this.#refuse(problem);
+		if (problem && !this.#isCallerGone) {
+			this.#sendError(problem);
 		}
 	}
 
@@ -286,21 +289,21 @@
 		return Number.isFinite(header) && header > 0 ? Math.min(header, DEFAULT_DEADLINE_MS) : DEFAULT_DEADLINE_MS;
 	}
 
-	#judgePoison(): Problem | undefined {
-		return this.#verdict() === POISON_STATES.poisoned ? createProblem('poisoned') : undefined;
+	#checkPoison(): Problem | undefined {
+		return this.#classifyRequest() === POISON_STATES.poisoned ? createProblem('poisoned') : undefined;
 	}
 
-	#judgeModel(): Problem | undefined {
+	#checkModel(): Problem | undefined {
 		const {view, pool} = this.#handler.options;
-		const isKnown = view.get('model', this.#request.model) !== undefined || pool.listModels().includes(this.#request.model);
-		return isKnown ? undefined : createProblem('notFound', `No model ${this.#request.model}.`);
+		const isKnownModel = view.get('model', this.#request.model) !== undefined || pool.listModels().includes(this.#request.model);
+		return isKnownModel ? undefined : createProblem('notFound', `No model ${this.#request.model}.`);
 	}
 
-	#verdict() {
-		return classifyRequest(this.#listCrashes());
+	#classifyRequest() {
+		return classifyRequest(this.#readCrashRecord());
 	}
 
-	#listCrashes(): CrashRecord {
+	#readCrashRecord(): CrashRecord {
 		return this.#handler.options.directory.findPoison(this.#request.fingerprint) ?? {servers: []};
 	}
 
@@ -309,8 +312,8 @@
 		this.#handler.retryBudget.recordRequest();
 		this.#handler.options.pool.recordDemand(this.#request.model, this.#shape);
 		let last = createProblem('noServer', undefined, 1);
-		while (!this.#isGone && clock.monotonicMs() < this.#deadlineMs) {
-			const step = await this.#runOne();
+		while (!this.#isCallerGone && clock.monotonicMs() < this.#deadlineMs) {
+			const step = await this.#runAttempt();
 			if (step.type === 'done') {
 				return undefined;
 			}
@@ -331,68 +334,68 @@
 		return clock.monotonicMs() >= this.#deadlineMs ? createProblem('deadlineExceeded') : last;
 	}
 
-	async #runOne(): Promise<NextStep> {
-		const verdict = this.#verdict();
-		if (verdict === POISON_STATES.poisoned) {
+	async #runAttempt(): Promise<NextStep> {
+		const poisonState = this.#classifyRequest();
+		if (poisonState === POISON_STATES.poisoned) {
 			return {type: 'fail', problem: createProblem('poisoned')};
 		}
 
-		if (verdict === POISON_STATES.suspect && !this.#quarantineLock) {
-			const isHeld = await this.#acquireQuarantineLock();
-			return isHeld
-				? this.#runOne()
+		if (poisonState === POISON_STATES.suspect && !this.#quarantineLock) {
+			const isLocked = await this.#acquireQuarantineLock();
+			return isLocked
+				? this.#runAttempt()
 				: {
-					type: 'again', sameServer: false, reason: 'quarantine', pauseMs: QUARANTINE_PAUSE_MS,
+					type: 'retry', sameServer: false, reason: 'quarantine', pauseMs: QUARANTINE_PAUSE_MS,
 				};
 		}
 
-		const decision = this.#choose();
-		const server = decision && this.#handler.options.pool.findServer(decision.server);
-		if (!decision || !server) {
+		const choice = this.#chooseEngine();
+		const server = choice && this.#handler.options.pool.findServer(choice.server);
+		if (!choice || !server) {
 			return this.#onNoServer();
 		}
 
-		const problem = this.#judgePromise(decision);
+		const problem = this.#checkFirstTokenTarget(choice);
 		if (problem) {
 			return {type: 'fail', problem};
 		}
 
 		this.#attempts++;
-		this.#logDecision(decision);
-		const result = await this.#attempt(server, decision);
-		return this.#judgeEnd(result, server);
+		this.#logChoice(choice);
+		const result = await this.#sendAttempt(server, choice);
+		return this.#handleResult(result, server);
 	}
 
-	#choose(): EngineChoice | undefined {
+	#chooseEngine(): EngineChoice | undefined {
 		const {pool, random} = this.#handler.options;
 		const {model, prompt} = this.#request;
-		const fresh = this.#fresh;
+		const reconnectServer = this.#reconnectServer;
 		const candidates = pool.listEngines(model, prompt, this.#excluded);
 		const lock = this.#quarantineLock;
-		const wanted = lock ? candidates.filter(candidate => candidate.server === lock.server) : candidates;
-		const repeated = fresh === undefined ? undefined : wanted.find(candidate => candidate.server === fresh);
-		if (repeated) {
-			return chooseEngine(this.#shape, [repeated], random);
+		const allowed = lock ? candidates.filter(candidate => candidate.server === lock.server) : candidates;
+		const sameEngine = reconnectServer === undefined ? undefined : allowed.find(candidate => candidate.server === reconnectServer);
+		if (sameEngine) {
+			return chooseEngine(this.#shape, [sameEngine], random);
 		}
 
-		return this.#tokens === 0 ? this.#place(wanted) : placeContinuation(this.#shape, wanted, random);
+		return this.#tokenCount === 0 ? this.#place(allowed) : placeContinuation(this.#shape, allowed, random);
 	}
 
 	#place(candidates: readonly Candidate[]): EngineChoice | undefined {
 		const placement = placeRequest(this.#shape, candidates, this.#handler.options.random);
-		this.#handsOff = placement?.handsOff ?? false;
+		this.#usesHandoff = placement?.handsOff ?? false;
 		return placement?.first;
 	}
 
 	/** Rejects a request whose first token is expected later than the caller demands. */
-	#judgePromise(decision: EngineChoice): Problem | undefined {
-		if (this.#firstTokenMs === undefined || this.#tokens > 0) {
+	#checkFirstTokenTarget(choice: EngineChoice): Problem | undefined {
+		if (this.#requestedFirstTokenMs === undefined || this.#tokenCount > 0) {
 			return undefined;
 		}
 
-		const targets = {...DEFAULT_LATENCY_TARGETS, firstTokenMs: this.#firstTokenMs - (this.#now() - this.#startedMs)};
-		const isPromised = meetsTargets(decision.cost, targets, this.#handler.selectMargin(this.#shape).share);
-		return isPromised ? undefined : createProblem('noCapacity', 'The first token would come too late.', 1);
+		const targets = {...DEFAULT_LATENCY_TARGETS, firstTokenMs: this.#requestedFirstTokenMs - (this.#now() - this.#startedMs)};
+		const isOnTime = meetsTargets(choice.cost, targets, this.#handler.selectMargin(this.#shape).share);
+		return isOnTime ? undefined : createProblem('noCapacity', 'The first token would come too late.', 1);
 	}
 
 	#onNoServer(): NextStep {
@@ -404,7 +407,7 @@
 		if (this.#excluded.size > 0) {
 			this.#excluded.clear();
 			return {
-				type: 'again', sameServer: false, reason: 'no-server', pauseMs: RETRY_PAUSE_MS * Math.max(1, this.#attempts),
+				type: 'retry', sameServer: false, reason: 'no-server', pauseMs: RETRY_PAUSE_MS * Math.max(1, this.#attempts),
 			};
 		}
 
@@ -414,31 +417,31 @@
 	async #acquireQuarantineLock(): Promise<boolean> {
 		const {pool, quarantine, random} = this.#handler.options;
 		const servers = pool.listEngines(this.#request.model, this.#request.prompt, this.#excluded).map(({server}) => server);
-		this.#note('An engine crashed while it ran this request; it waits to be tried alone.');
+		this.#addStep('An engine crashed while it ran this request; it waits to be tried alone.');
 		this.#quarantineLock = await quarantine.tryLock(shuffle(servers, random));
-		this.#crashTokens = this.#tokens;
+		this.#tokensAtCrash = this.#tokenCount;
 		return this.#quarantineLock !== undefined;
 	}
 
-	#logDecision(decision: EngineChoice): void {
+	#logChoice(choice: EngineChoice): void {
 		const {logger} = this.#handler.options;
-		const considered = decision.considered.map(({server, totalMs}) => `${server}:${Math.round(totalMs)}`);
-		logger.info(`Sending request to ${decision.server}.`, {
-			request: this.#exchange.id, server: decision.server, reason: decision.reason, attempt: this.#attempts, considered,
+		const considered = choice.considered.map(({server, totalMs}) => `${server}:${Math.round(totalMs)}`);
+		logger.info(`Sending request to ${choice.server}.`, {
+			request: this.#exchange.id, server: choice.server, reason: choice.reason, attempt: this.#attempts, considered,
 		});
-		this.#note(`Attempt ${this.#attempts} goes to engine ${decision.server} (${decision.reason}; ${considered.length} engines compared, expected first token in ${Math.round(decision.cost.firstTokenMs)} ms).`);
+		this.#addStep(`Attempt ${this.#attempts} goes to engine ${choice.server} (${choice.reason}; ${considered.length} engines compared, expected first token in ${Math.round(choice.cost.firstTokenMs)} ms).`);
 	}
 
-	async #attempt(server: Announcement, decision: EngineChoice): Promise<AttemptResult> {
+	async #sendAttempt(server: Announcement, choice: EngineChoice): Promise<AttemptResult> {
 		const {engineClient, pool, clock} = this.#handler.options;
 		const id = `${this.#exchange.id}.${this.#attempts}`;
-		this.#isFirstOfAttempt = true;
-		const resume = this.#tokens > 0 ? {resume: {offset: this.#tokens, text: this.#delivered}} : {};
-		const handoff = this.#handsOff ? {handoff: true} : {};
-		const imported = this.#import ? {kv: this.#import} : {};
+		this.#isFirstToken = true;
+		const resume = this.#tokenCount > 0 ? {resume: {offset: this.#tokenCount, text: this.#deliveredText}} : {};
+		const handoff = this.#usesHandoff ? {handoff: true} : {};
+		const imported = this.#importSource ? {kv: this.#importSource} : {};
 		const cachedTokens = pool.prefixes.countCached(server.server, hashBlocks(this.#request.prompt)) * TOKENS_PER_PREFIX_BLOCK;
 		pool.loads.startRequest(server.server, id, {
-			prefillTokens: Math.max(0, this.#shape.promptTokens - (this.#import ? this.#shape.promptTokens : cachedTokens)),
+			prefillTokens: Math.max(0, this.#shape.promptTokens - (this.#importSource ? this.#shape.promptTokens : cachedTokens)),
 			outputTokens: this.#shape.outputTokens,
 			promptTokens: this.#shape.promptTokens,
 		}, clock.monotonicMs());
@@ -448,10 +451,10 @@
 			body: {
 				...this.#request.body, ...resume, ...handoff, ...imported,
 			},
-			offset: this.#tokens,
-			firstEventTimeoutMs: this.#firstEventLimit(decision),
-			eventTimeoutMs: pool.progress.stallTimeoutMs(server.server),
-			usesNewConnection: this.#fresh === server.server,
+			offset: this.#tokenCount,
+			firstEventTimeoutMs: this.#computeFirstEventTimeout(choice),
+			eventTimeoutMs: pool.streamGaps.stallTimeoutMs(server.server),
+			usesNewConnection: this.#reconnectServer === server.server,
 			priority: readHeader(this.#exchange.request, 'carawayhoist-priority') === 'background' ? PRIORITY.background : PRIORITY.interactive,
 			onToken: text => {
 				this.#onToken(text, server.server, id);
@@ -460,14 +463,14 @@
 				this.#flush();
 			},
 			onLoad: load => {
-				this.#noteLoad(server.server, load);
+				this.#recordLoad(server.server, load);
 			},
 		});
 		this.#cancel = () => {
 			attempt.cancel();
 		};
 
-		if (this.#isGone) {
+		if (this.#isCallerGone) {
 			attempt.cancel();
 		}
 
@@ -481,32 +484,32 @@
 		return result;
 	}
 
-	#firstEventLimit(decision: EngineChoice): number {
-		const expected = decision.cost.firstTokenMs * FIRST_EVENT_FACTOR;
-		return Math.min(LONGEST_FIRST_EVENT_MS, Math.max(SHORTEST_FIRST_EVENT_MS, expected));
+	#computeFirstEventTimeout(choice: EngineChoice): number {
+		const expected = choice.cost.firstTokenMs * FIRST_EVENT_TIMEOUT_FACTOR;
+		return Math.min(MAX_FIRST_EVENT_TIMEOUT_MS, Math.max(MIN_FIRST_EVENT_TIMEOUT_MS, expected));
 	}
 
 	#onToken(text: string, server: string, attempt: string): void {
 		const {pool, clock, metrics} = this.#handler.options;
 		const nowMs = clock.monotonicMs();
-		if (this.#isFirstOfAttempt) {
-			this.#isFirstOfAttempt = false;
+		if (this.#isFirstToken) {
+			this.#isFirstToken = false;
 			pool.loads.recordFirstToken(server, attempt);
 		}
 
-		if (this.#tokens === 0) {
+		if (this.#tokenCount === 0) {
 			const firstMs = nowMs - this.#startedMs;
 			metrics.firstToken.observe(firstMs / 1000);
-			this.#handler.selectMargin(this.#shape).record(firstMs <= this.#targetMs);
+			this.#handler.selectMargin(this.#shape).record(firstMs <= this.#firstTokenTargetMs);
 		} else {
 			metrics.betweenTokens.observe((nowMs - this.#lastTokenMs) / 1000);
-			pool.progress.recordGap(server, nowMs - this.#lastTokenMs);
+			pool.streamGaps.recordGap(server, nowMs - this.#lastTokenMs);
 		}
 
 		this.#lastTokenMs = nowMs;
-		this.#tokens++;
-		this.#delivered += text;
-		if (this.#quarantineLock && this.#tokens >= this.#crashTokens + CLEARING_TOKENS) {
+		this.#tokenCount++;
+		this.#deliveredText += text;
+		if (this.#quarantineLock && this.#tokenCount >= this.#tokensAtCrash + CLEARING_TOKENS) {
 			this.#clearSuspicion();
 		}
 
@@ -515,23 +518,23 @@
 
 	#flush(): void {
 		if (!this.#writer.flush()) {
-			this.#note('The caller does not read; the request is cancelled.');
+			this.#addStep('The caller does not read; the request is cancelled.');
 			this.#exchange.response.destroy();
 		}
 	}
 
 	#clearSuspicion(): void {
-		const {servers} = this.#listCrashes();
-		this.#publishPoison({servers, acquitted: servers});
+		const {servers} = this.#readCrashRecord();
+		this.#broadcastPoison({servers, acquitted: servers});
 		this.#quarantineLock?.release();
 		this.#quarantineLock = undefined;
 	}
 
-	async #judgeEnd(result: AttemptResult, server: Announcement): Promise<NextStep> {
+	async #handleResult(result: AttemptResult, server: Announcement): Promise<NextStep> {
 		const {pool} = this.#handler.options;
-		const wasFresh = this.#fresh === server.server;
-		this.#fresh = undefined;
-		this.#import = undefined;
+		const usedNewConnection = this.#reconnectServer === server.server;
+		this.#reconnectServer = undefined;
+		this.#importSource = undefined;
 		switch (result.type) {
 			case 'complete': {
 				if (result.handoff !== undefined) {
@@ -551,28 +554,28 @@
 			}
 
 			case 'refused': {
-				this.#note(`Engine ${server.server} refused it (${result.status}).`);
+				this.#addStep(`Engine ${server.server} refused it (${result.status}).`);
 				this.#excluded.add(server.server);
 				if (result.status === 429 && !this.#handler.retryBudget.tryAcquire()) {
 					return {type: 'fail', problem: createProblem('noCapacity', undefined, 1)};
 				}
 
 				return {
-					type: 'again', sameServer: false, reason: 'refused', pauseMs: 0,
+					type: 'retry', sameServer: false, reason: 'refused', pauseMs: 0,
 				};
 			}
 
 			case 'silent':
 			case 'mismatch': {
-				return this.#onSilent(server, wasFresh, result.type);
+				return this.#retryOnNewConnection(server, usedNewConnection, result.type);
 			}
 
 			case 'unreachable': {
 				pool.health.recordFailure(server.server, this.#now());
 				this.#excluded.add(server.server);
-				this.#note(`Engine ${server.server} could not be reached.`);
+				this.#addStep(`Engine ${server.server} could not be reached.`);
 				return {
-					type: 'again', sameServer: false, reason: 'unreachable', pauseMs: 0,
+					type: 'retry', sameServer: false, reason: 'unreachable', pauseMs: 0,
 				};
 			}
 
@@ -584,34 +587,34 @@
 
 	/** Prepares the next attempt, at an engine that imports the KV cache of the prefilled prompt and decodes. */
 	#onHandoff(handle: string, server: Announcement): NextStep {
-		this.#handsOff = false;
-		this.#import = {address: server.address, port: server.port, handle};
+		this.#usesHandoff = false;
+		this.#importSource = {address: server.address, port: server.port, handle};
 		this.#handler.options.pool.prefixes.record(server.server, hashBlocks(this.#request.prompt));
-		this.#note(`Engine ${server.server} has computed the prompt; its KV cache is handed over.`);
+		this.#addStep(`Engine ${server.server} has computed the prompt; its KV cache is handed over.`);
 		return {
-			type: 'again', sameServer: false, reason: 'handoff', pauseMs: 0,
+			type: 'retry', sameServer: false, reason: 'handoff', pauseMs: 0,
 		};
 	}
 
-	#noteLoad(server: string, header: string): void {
+	#recordLoad(server: string, header: string): void {
 		const load = parseLoad(header);
 		if (load) {
 			this.#handler.options.pool.loads.recordReport(server, load, this.#now());
 		}
 	}
 
-	/** Retries at the same engine over a new connection first, because the connection may be dead while the engine is healthy. */
-	#onSilent(server: Announcement, wasFresh: boolean, reason: string): NextStep {
-		this.#note(`Nothing usable came from engine ${server.server} on ${wasFresh ? 'a new' : 'an open'} connection (${reason}).`);
-		if (wasFresh) {
+	/** Retries at the same engine over a new connection, as the old one may be dead while the engine is healthy. If that was tried, excludes the engine. */
+	#retryOnNewConnection(server: Announcement, usedNewConnection: boolean, reason: string): NextStep {
+		this.#addStep(`Nothing usable came from engine ${server.server} on ${usedNewConnection ? 'a new' : 'an open'} connection (${reason}).`);
+		if (usedNewConnection) {
 			this.#handler.options.pool.health.recordFailure(server.server, this.#now());
 			this.#excluded.add(server.server);
 		} else {
-			this.#fresh = server.server;
+			this.#reconnectServer = server.server;
 		}
 
 		return {
-			type: 'again', sameServer: !wasFresh, reason, pauseMs: 0,
+			type: 'retry', sameServer: !usedNewConnection, reason, pauseMs: 0,
 		};
 	}
 
@@ -619,41 +622,41 @@
 		const {pool} = this.#handler.options;
 		const isAlive = await probe(server);
 		if (isAlive) {
-			this.#note(`The connection to engine ${server.server} broke; the engine is alive.`);
-			this.#blameRepeatedBreaks(server);
-			void this.#lookAgain(server);
+			this.#addStep(`The connection to engine ${server.server} broke; the engine is alive.`);
+			this.#excludeAfterSecondBreak(server);
+			void this.#probeAgain(server);
 			return {
-				type: 'again', sameServer: true, reason: 'broken', pauseMs: 0,
+				type: 'retry', sameServer: true, reason: 'broken', pauseMs: 0,
 			};
 		}
 
-		this.#note(`Engine ${server.server} died while it ran this request.`);
+		this.#addStep(`Engine ${server.server} died while it ran this request.`);
 		pool.health.recordFailure(server.server, this.#now());
 		this.#excluded.add(server.server);
 		this.#quarantineLock?.release();
 		this.#quarantineLock = undefined;
-		this.#publishCrash(server);
+		this.#broadcastCrash(server);
 		return {
-			type: 'again', sameServer: false, reason: 'died', pauseMs: 0,
+			type: 'retry', sameServer: false, reason: 'died', pauseMs: 0,
 		};
 	}
 
-	/** Probes an engine again that seemed alive after its connection broke. */
-	async #lookAgain(server: Announcement): Promise<void> {
-		await sleep(SECOND_LOOK_MS);
+	/** Probes an engine again after a delay, and broadcasts a crash if it has died since its connection broke. */
+	async #probeAgain(server: Announcement): Promise<void> {
+		await sleep(SECOND_PROBE_DELAY_MS);
 		const current = this.#handler.options.pool.findServer(server.server) ?? server;
 		if (current.incarnation !== server.incarnation || !(await probe(server))) {
-			this.#note(`Engine ${server.server} has died since its connection broke.`);
-			this.#publishCrash(server);
+			this.#addStep(`Engine ${server.server} has died since its connection broke.`);
+			this.#broadcastCrash(server);
 		}
 	}
 
-	#publishCrash({server, incarnation}: Announcement): void {
-		this.#publishPoison({servers: [`${server}#${incarnation}`]});
+	#broadcastCrash({server, incarnation}: Announcement): void {
+		this.#broadcastPoison({servers: [`${server}#${incarnation}`]});
 	}
 
-	/** Tells every entry host which engines crashed while they ran this request. */
-	#publishPoison({servers, acquitted = []}: CrashRecord): void {
+	/** Tells every entry host which engines crashed while running this request, and of which crashes it was cleared. */
+	#broadcastPoison({servers, acquitted = []}: CrashRecord): void {
 		const {broadcast, clock} = this.#handler.options;
 		broadcast({
 			type: 'poison', fingerprint: this.#request.fingerprint, servers: [...servers], acquitted: [...acquitted], at: clock.wallMs(),
@@ -661,13 +664,13 @@
 	}
 
 	/** Excludes an engine at its second broken connection. The first one may be a network failure. */
-	#blameRepeatedBreaks(server: Announcement): void {
-		if (this.#brokenAt.has(server.server)) {
+	#excludeAfterSecondBreak(server: Announcement): void {
+		if (this.#brokenConnections.has(server.server)) {
 			this.#excluded.add(server.server);
 			this.#handler.options.pool.health.recordFailure(server.server, this.#now());
 		}
 
-		this.#brokenAt.add(server.server);
+		this.#brokenConnections.add(server.server);
 	}
 
 	#onComplete(result: Extract<AttemptResult, {type: 'complete'}>, server: Announcement): void {
@@ -686,11 +689,11 @@
 
 		const promptTokens = result.promptTokens || this.#shape.promptTokens;
 		this.#writer.complete(result.finishReason, {
-			prompt_tokens: promptTokens, completion_tokens: this.#tokens, total_tokens: promptTokens + this.#tokens,
+			prompt_tokens: promptTokens, completion_tokens: this.#tokenCount, total_tokens: promptTokens + this.#tokenCount,
 		});
 	}
 
-	#refuse(problem: Problem): void {
+	#sendError(problem: Problem): void {
 		const {response} = this.#exchange;
 		if (!response.headersSent) {
 			sendProblem(this.#exchange, problem);
@@ -704,13 +707,13 @@
 
 	#onCallerGone(): void {
 		if (!this.#exchange.response.writableFinished) {
-			this.#isGone = true;
+			this.#isCallerGone = true;
 			this.#cancel?.();
 			this.#handler.release(this.#exchange.id, this.#request.model);
 		}
 	}
 
-	#describeEnd(outcome: string, problem: Problem | undefined): string {
+	#describeOutcome(outcome: string, problem: Problem | undefined): string {
 		const durationMs = Math.round(this.#now() - this.#startedMs);
 		if (outcome === 'cancelled') {
 			return `The caller went away after ${durationMs} ms; the engine was told to stop.`;
@@ -718,10 +721,10 @@
 
 		return problem
 			? `Refused after ${durationMs} ms with code ${problem.code}: ${problem.text}`
-			: `Answered whole after ${durationMs} ms: ${this.#tokens} tokens in ${this.#attempts} attempt(s).`;
+			: `Answered whole after ${durationMs} ms: ${this.#tokenCount} tokens in ${this.#attempts} attempt(s).`;
 	}
 
-	#note(text: string): void {
+	#addStep(text: string): void {
 		this.#handler.options.journal.addStep(this.#exchange.id, text, this.#handler.options.clock.wallMs());
 	}
 
--- a/src/entry/operator.ts
+++ b/src/entry/operator.ts
@@ -114,20 +114,20 @@
 	}
 
 	async #read(exchange: Exchange, kind: string | undefined, name: string | undefined): Promise<void> {
-		const listing = await this.#options.client.readResources(-1)();
-		if (Either.isLeft(listing)) {
-			sendProblem(exchange, listing.left);
+		const reply = await this.#options.client.readResources(-1)();
+		if (Either.isLeft(reply)) {
+			sendProblem(exchange, reply.left);
 			return;
 		}
 
-		const {version, resources} = listing.right.view;
-		const chosen = resources.filter(resource => kind === undefined || resource.specification.kind === kind);
+		const {version, resources} = reply.right.view;
+		const matching = resources.filter(resource => kind === undefined || resource.specification.kind === kind);
 		if (name === undefined) {
-			sendJson(exchange, 200, {version, resources: chosen});
+			sendJson(exchange, 200, {version, resources: matching});
 			return;
 		}
 
-		const resource = chosen.find(candidate => candidate.name === name);
+		const resource = matching.find(candidate => candidate.name === name);
 		if (resource) {
 			sendJson(exchange, 200, resource);
 		} else {
@@ -194,28 +194,28 @@
 		}
 
 		const {response} = exchange;
-		const alarm = new EventEmitter();
-		const ring = () => {
-			alarm.emit('ring');
+		const events = new EventEmitter();
+		const notify = () => {
+			events.emit('update');
 		};
 
-		const stopListening = this.#options.viewTask.onChange(ring);
-		const heartbeat = setInterval(ring, WATCH_HEARTBEAT_MS);
-		response.once('close', ring);
+		const removeListener = this.#options.viewTask.onChange(notify);
+		const heartbeat = setInterval(notify, WATCH_HEARTBEAT_MS);
+		response.once('close', notify);
 		while (!response.destroyed) {
-			const wake = once(alarm, 'ring');
-			const listing = await this.#options.client.readResources(from)();
-			const update = Either.isRight(listing) ? listing.right.view : undefined;
+			const notified = once(events, 'update');
+			const reply = await this.#options.client.readResources(from)();
+			const update = Either.isRight(reply) ? reply.right.view : undefined;
 			if (update && (update.version > from || !response.headersSent)) {
 				from = Math.max(from, update.version);
-				writeLine(exchange, update);
+				writeUpdate(exchange, update);
 			}
 
-			await wake;
+			await notified;
 		}
 
 		clearInterval(heartbeat);
-		stopListening();
+		removeListener();
 	}
 
 	#sendStatus(exchange: Exchange): void {
@@ -255,8 +255,8 @@
 			return;
 		}
 
-		const {type: _type, id: _id, ...answer} = reply.right;
-		sendJson(exchange, 200, answer);
+		const {type: _type, id: _id, ...result} = reply.right;
+		sendJson(exchange, 200, result);
 	}
 
 	/** Sends the timeline of a request or a planned change. */
@@ -272,21 +272,21 @@
 
 		const change = this.#options.view.get('change', subject);
 		if (change) {
-			sendJson(exchange, 200, describeChangeStory(change));
+			sendJson(exchange, 200, explainChange(change));
 			return;
 		}
 
-		const story = exchange.query.get('forwarded') === null ? await this.#askHost(exchange, subject) : undefined;
-		if (story === undefined) {
+		const explanation = exchange.query.get('forwarded') === null ? await this.#fetchExplanation(exchange, subject) : undefined;
+		if (explanation === undefined) {
 			sendProblem(exchange, createProblem('notFound', `Nothing is known of ${subject}; requests are kept for a while by the host that served them.`));
 			return;
 		}
 
-		sendJson(exchange, 200, story);
+		sendJson(exchange, 200, explanation);
 	}
 
 	/** Asks the host that served a request for its timeline. A request ID starts with the name of that host. */
-	async #askHost(exchange: Exchange, subject: string): Promise<unknown> {
+	async #fetchExplanation(exchange: Exchange, subject: string): Promise<unknown> {
 		const fact = this.#options.directory.listHosts().find(host => subject.startsWith(`${host.peer.host}_`));
 		if (!fact?.http || fact.peer.host === this.#options.host) {
 			return undefined;
@@ -298,15 +298,15 @@
 			const {statusCode, body} = await httpRequest(url, {
 				headersTimeout: FORWARD_TIMEOUT_MS, bodyTimeout: FORWARD_TIMEOUT_MS, headers: authorization === undefined ? {} : {authorization},
 			});
-			const story = await body.json();
-			return statusCode === 200 ? story : undefined;
+			const explanation = await body.json();
+			return statusCode === 200 ? explanation : undefined;
 		} catch {
 			return undefined;
 		}
 	}
 }
 
-function writeLine(exchange: Exchange, update: ViewUpdate): void {
+function writeUpdate(exchange: Exchange, update: ViewUpdate): void {
 	const {response} = exchange;
 	if (!response.headersSent) {
 		response.writeHead(200, {'content-type': 'application/x-ndjson', 'cache-control': 'no-cache', 'x-request-id': exchange.id});
@@ -335,7 +335,7 @@
 	sendJson(exchange, 200, {version: outcome.type === 'accepted' ? outcome.version : proposed.right.index});
 }
 
-function describeChangeStory(change: Resource) {
+function explainChange(change: Resource) {
 	const history = change.status?.history ?? [];
 	return {
 		subject: change.name,
--- a/src/entry/plain.ts
+++ b/src/entry/plain.ts
@@ -53,8 +53,8 @@
 	 *
 	 * @example
 	 * ```ts
-	 * const end = await client.exchange(server, request);
-	 * end.type; // 'response', 'not-run' or 'unknown'
+	 * const result = await client.send(server, request);
+	 * result.type; // 'response', 'not-run' or 'unknown'
 	 * ```
 	 */
 	async send(server: Announcement, request: PlainRequest): Promise<PlainResult> {
--- a/src/entry/pool.ts
+++ b/src/entry/pool.ts
@@ -1,5 +1,5 @@
 /**
- * The backend servers that an entry host may use now: announced, not leaving, not excluded by a planned change, healthy.
+ * The backend servers that an entry host may use now: announced, not leaving, and not excluded by a planned change.
  *
  * @module
  */
@@ -22,7 +22,7 @@
 /** Number of tokens that one KV block of an engine's capacity holds. */
 export const TOKENS_PER_KV_BLOCK = 64;
 const DEFAULT_MAX_RUNNING = 64;
-const DEFAULT_PIECES = 1000;
+const DEFAULT_KV_BLOCKS = 1000;
 const DEMAND_WINDOW_MS = 8000;
 export const TOKENS_PER_PREFIX_BLOCK = BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
 
@@ -37,8 +37,9 @@
 	readonly loads = new LoadTracker();
 	readonly prefixes = new PrefixIndex();
 	readonly health = new HealthTracker();
-	readonly progress = new StreamGapTracker();
-	readonly #meters = new Map<string, DemandEstimator>();
+	/** Times between the tokens of a stream, by engine. */
+	readonly streamGaps = new StreamGapTracker();
+	readonly #demandEstimators = new Map<string, DemandEstimator>();
 	readonly #options: ServerPoolOptions;
 	readonly #incarnations = new Map<string, number>();
 
@@ -64,23 +65,23 @@
 		}
 	}
 
-	/** Records the work of a request. The leader assigns the engines' roles by this demand. */
+	/** Records the demand of a request, from which the leader assigns roles to engines. */
 	recordDemand(model: string, shape: {readonly promptTokens: number; readonly outputTokens: number}): void {
 		const nowMs = this.#options.clock.monotonicMs();
-		let meter = this.#meters.get(model);
-		if (!meter) {
-			meter = new DemandEstimator(DEMAND_WINDOW_MS, nowMs);
-			this.#meters.set(model, meter);
+		let estimator = this.#demandEstimators.get(model);
+		if (!estimator) {
+			estimator = new DemandEstimator(DEMAND_WINDOW_MS, nowMs);
+			this.#demandEstimators.set(model, estimator);
 		}
 
 		const {prefillMs, decodeMs} = estimateEngineTime(shape, DEFAULT_ENGINE_SPEED);
-		meter.record(prefillMs, decodeMs, nowMs);
+		estimator.record(prefillMs, decodeMs, nowMs);
 	}
 
 	/** Returns the recent demand for each model at this host. */
 	readDemand(): ModelDemand[] {
 		const nowMs = this.#options.clock.monotonicMs();
-		return [...this.#meters].map(([model, meter]) => ({model, ...meter.current(nowMs)}));
+		return [...this.#demandEstimators].map(([model, estimator]) => ({model, ...estimator.current(nowMs)}));
 	}
 
 	findServer(server: string): Announcement | undefined {
@@ -91,8 +92,8 @@
 	listEngines(model: string, prompt: string, excluded: ReadonlySet<string>): Candidate[] {
 		const hashes = hashBlocks(prompt);
 		const engines = this.#listUsable(excluded, announcement => servesModel(announcement, model));
-		const homes = this.#findHomes(engines, hashes);
-		return engines.map(announcement => this.#createCandidate(announcement, hashes, homes.has(announcement.server)));
+		const owners = this.#findPrefixOwners(engines, hashes);
+		return engines.map(announcement => this.#createCandidate(announcement, hashes, owners.has(announcement.server)));
 	}
 
 	/** Lists the plain servers that may run a call to a service. */
@@ -109,14 +110,14 @@
 	/** Computes the number of tokens that the KV caches of all usable engines of a model hold. */
 	computeCapacityTokens(model: string): number {
 		const servers = this.#listUsable(new Set(), announcement => servesModel(announcement, model));
-		return servers.reduce((sum, announcement) => sum + ((announcement.capacity ?? DEFAULT_PIECES) * TOKENS_PER_KV_BLOCK), 0);
+		return servers.reduce((sum, announcement) => sum + ((announcement.capacity ?? DEFAULT_KV_BLOCKS) * TOKENS_PER_KV_BLOCK), 0);
 	}
 
 	/** Lists the wanted servers that are usable. Unhealthy ones are included only if there are no others. */
-	#listUsable(excluded: ReadonlySet<string>, isWanted: (announcement: Announcement) => boolean): Announcement[] {
+	#listUsable(excluded: ReadonlySet<string>, matches: (announcement: Announcement) => boolean): Announcement[] {
 		const nowMs = this.#options.clock.monotonicMs();
 		const usable = this.#options.directory.listServers(nowMs).filter(announcement => announcement.leaving !== true
-			&& isWanted(announcement)
+			&& matches(announcement)
 			&& !excluded.has(announcement.server)
 			&& !this.#options.view.findExclusion(announcement.server));
 		const healthy = usable.filter(announcement => !this.health.isSuspected(announcement.server, nowMs));
@@ -124,34 +125,34 @@
 	}
 
 	/** Finds the engines that own the longest known prefix of a prompt: one for each role. */
-	#findHomes(engines: readonly Announcement[], hashes: readonly number[]): Set<string> {
-		const homes = new Set<string>();
-		const deepest = hashes[this.prefixes.countSeen(hashes) - 1];
-		for (const role of deepest === undefined ? [] : Object.values(ENGINE_ROLES)) {
-			const peers = engines.filter(engine => this.#roleOf(engine) === role).map(({server}) => server);
-			homes.add(findPrefixOwner(peers, deepest!) ?? '');
+	#findPrefixOwners(engines: readonly Announcement[], hashes: readonly number[]): Set<string> {
+		const owners = new Set<string>();
+		const longestPrefixHash = hashes[this.prefixes.countSeen(hashes) - 1];
+		for (const role of longestPrefixHash === undefined ? [] : Object.values(ENGINE_ROLES)) {
+			const servers = engines.filter(engine => this.#getRole(engine) === role).map(({server}) => server);
+			owners.add(findPrefixOwner(servers, longestPrefixHash!) ?? '');
 		}
 
-		return homes;
+		return owners;
 	}
 
-	#createCandidate(announcement: Announcement, hashes: readonly number[], isHome: boolean): Candidate {
+	#createCandidate(announcement: Announcement, hashes: readonly number[], isPrefixOwner: boolean): Candidate {
 		const {server} = announcement;
-		const pieces = announcement.capacity ?? DEFAULT_PIECES;
+		const kvBlocks = announcement.capacity ?? DEFAULT_KV_BLOCKS;
 		return {
 			server,
-			role: this.#roleOf(announcement),
+			role: this.#getRole(announcement),
 			dataCentre: announcement.dataCentre ?? '',
 			load: this.loads.estimate(server),
 			speed: DEFAULT_ENGINE_SPEED,
-			cachedTokens: this.prefixes.estimateCached(server, hashes, isHome) * TOKENS_PER_PREFIX_BLOCK,
-			isPrefixOwner: isHome,
+			cachedTokens: this.prefixes.estimateCached(server, hashes, isPrefixOwner) * TOKENS_PER_PREFIX_BLOCK,
+			isPrefixOwner,
 			maxRunning: DEFAULT_MAX_RUNNING,
-			kvTokens: pieces * TOKENS_PER_KV_BLOCK,
+			kvTokens: kvBlocks * TOKENS_PER_KV_BLOCK,
 		};
 	}
 
-	#roleOf(announcement: Announcement): EngineRole {
+	#getRole(announcement: Announcement): EngineRole {
 		return announcement.role ?? ENGINE_ROLES.mixed;
 	}
 }
--- a/src/entry/quarantine.ts
+++ b/src/entry/quarantine.ts
@@ -41,13 +41,13 @@
 	 *
 	 * @example
 	 * ```ts
-	 * const hold = await quarantine.tryHold(['e3', 'e1']);
-	 * hold?.release();
+	 * const lock = await quarantine.tryLock(['e3', 'e1']);
+	 * lock?.release();
 	 * ```
 	 */
 	async tryLock(servers: readonly string[]): Promise<QuarantineLock | undefined> {
 		for (const server of servers) {
-			const lock = await this.#tryServer(server);
+			const lock = await this.#tryLockServer(server);
 			if (lock) {
 				return lock;
 			}
@@ -56,7 +56,7 @@
 		return undefined;
 	}
 
-	async #tryServer(server: string): Promise<QuarantineLock | undefined> {
+	async #tryLockServer(server: string): Promise<QuarantineLock | undefined> {
 		const {client, clock, host, boot} = this.#options;
 		const key = QUARANTINE_PREFIX + server;
 		const attempt = `${boot}/q${this.#next++}`;
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -46,8 +46,8 @@
 export class EntryServer {
 	readonly #options: EntryServerOptions;
 	readonly #server: http.Server;
-	#next = 1;
-	#active = 0;
+	#nextRequestNumber = 1;
+	#activeCount = 0;
 	#isStopping = false;
 
 	constructor(options: EntryServerOptions) {
@@ -56,18 +56,18 @@
 			void this.#serve(request, response);
 		};
 
-		const settings = {maxHeaderSize: options.limits.headerBytes, keepAliveTimeout: KEEP_ALIVE_MS};
-		this.#server = options.tls ? https.createServer({...settings, ...options.tls}, listener) : http.createServer(settings, listener);
+		const serverOptions = {maxHeaderSize: options.limits.headerBytes, keepAliveTimeout: KEEP_ALIVE_MS};
+		this.#server = options.tls ? https.createServer({...serverOptions, ...options.tls}, listener) : http.createServer(serverOptions, listener);
 		this.#server.requestTimeout = 0;
 		this.#server.headersTimeout = options.limits.bodyTimeoutMs;
 		this.#server.on('clientError', (error: Error & {code?: string}, socket) => {
-			refuseMalformed(error, socket as Socket);
+			rejectMalformed(error, socket as Socket);
 		});
 	}
 
 	/** Number of requests in progress. */
 	get activeCount(): number {
-		return this.#active;
+		return this.#activeCount;
 	}
 
 	/** Starts listening and returns the port. */
@@ -102,7 +102,7 @@
 	async #serve(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
 		const url = URL.parse(request.url ?? '/', 'http://entry');
 		const exchange: Exchange = {
-			id: `${this.#options.host}_${this.#options.boot.slice(0, 8)}_${this.#next++}`,
+			id: `${this.#options.host}_${this.#options.boot.slice(0, 8)}_${this.#nextRequestNumber++}`,
 			request,
 			response,
 			method: request.method ?? 'GET',
@@ -113,9 +113,9 @@
 			response.setHeader('connection', 'close');
 		}
 
-		this.#active++;
+		this.#activeCount++;
 		response.once('close', () => {
-			this.#active--;
+			this.#activeCount--;
 		});
 		try {
 			await this.#dispatch(exchange);
@@ -126,12 +126,12 @@
 	}
 
 	async #dispatch(exchange: Exchange): Promise<void> {
-		if (exchange.method === 'GET' && await this.#servePlatform(exchange)) {
+		if (exchange.method === 'GET' && await this.#serveHealthOrMetrics(exchange)) {
 			return;
 		}
 
 		const isOperator = exchange.path.startsWith(OPERATOR_PATH_PREFIX);
-		const problem = this.#checkKey(exchange, isOperator);
+		const problem = this.#authorize(exchange, isOperator);
 		if (problem) {
 			sendProblem(exchange, problem);
 			return;
@@ -147,7 +147,7 @@
 	}
 
 	/** Answers health checks and metrics requests of the platform. Returns false for any other request. */
-	async #servePlatform(exchange: Exchange): Promise<boolean> {
+	async #serveHealthOrMetrics(exchange: Exchange): Promise<boolean> {
 		const {metrics, isReady} = this.#options;
 		switch (exchange.path) {
 			case '/healthz': {
@@ -174,22 +174,22 @@
 		}
 	}
 
-	#checkKey(exchange: Exchange, isOperator: boolean): Problem | undefined {
+	#authorize(exchange: Exchange, isOperator: boolean): Problem | undefined {
 		const {operatorKeys, callerKeys} = this.#options;
 		const keys = isOperator ? operatorKeys : callerKeys;
 		if (keys === undefined || exchange.path === ANNOUNCE_PATH) {
 			return undefined;
 		}
 
-		const given = readHeader(exchange.request, 'authorization')?.replace(/^Bearer /v, '') ?? '';
-		return keys.includes(given) ? undefined : createProblem('unauthorized');
+		const key = readHeader(exchange.request, 'authorization')?.replace(/^Bearer /v, '') ?? '';
+		return keys.includes(key) ? undefined : createProblem('unauthorized');
 	}
 
 	async #serveCaller(exchange: Exchange, body: Buffer): Promise<void> {
 		const {models, services} = this.#options;
 		const {method, path} = exchange;
 		if (method === 'POST' && path === ANNOUNCE_PATH) {
-			this.#announce(exchange, body);
+			this.#handleAnnouncement(exchange, body);
 			return;
 		}
 
@@ -204,7 +204,7 @@
 		}
 
 		if (method === 'GET' && path === '/v1/models') {
-			this.#listModels(exchange);
+			this.#sendModels(exchange);
 			return;
 		}
 
@@ -217,7 +217,7 @@
 		sendProblem(exchange, createProblem('notFound', `${method} ${path}`));
 	}
 
-	#announce(exchange: Exchange, body: Buffer): void {
+	#handleAnnouncement(exchange: Exchange, body: Buffer): void {
 		const parsed = parseJson(body);
 		if (Either.isLeft(parsed)) {
 			sendProblem(exchange, parsed.left);
@@ -234,7 +234,7 @@
 		sendJson(exchange, 200, {accepted: true});
 	}
 
-	#listModels(exchange: Exchange): void {
+	#sendModels(exchange: Exchange): void {
 		const data = this.#options.pool.listModels().map(id => ({
 			id, object: 'model', created: 0, owned_by: 'carawayhoist',
 		}));
@@ -243,15 +243,15 @@
 }
 
 /** Sends an error for input that is not HTTP, or headers that are too long or too slow, and closes only that connection. */
-function refuseMalformed(error: Error & {code?: string}, socket: Socket): void {
+function rejectMalformed(error: Error & {code?: string}, socket: Socket): void {
 	if (error.code === 'ECONNRESET' || !socket.writable) {
 		socket.destroy();
 		return;
 	}
 
-	const isSlow = error.code === 'ERR_HTTP_REQUEST_TIMEOUT';
-	const isLarge = error.code === 'HPE_HEADER_OVERFLOW';
-	const problem = createProblem(isSlow ? 'requestTimeout' : (isLarge ? 'headersInvalid' : 'badRequest'));
+	const isTimeout = error.code === 'ERR_HTTP_REQUEST_TIMEOUT';
+	const isHeaderOverflow = error.code === 'HPE_HEADER_OVERFLOW';
+	const problem = createProblem(isTimeout ? 'requestTimeout' : (isHeaderOverflow ? 'headersInvalid' : 'badRequest'));
 	const body = JSON.stringify(createErrorBody(problem));
 	const head = [
 		`HTTP/1.1 ${problem.status} ${http.STATUS_CODES[problem.status] ?? 'Error'}`,
--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -48,7 +48,7 @@
 	readonly deadlineMs: number;
 };
 
-type Claimed = {
+type LedgerClaim = {
 	readonly key: string;
 	readonly attempt: string;
 };
@@ -57,14 +57,14 @@
 const DEFAULT_KEY_HEADER = 'idempotency-key';
 const CLAIM_DEADLINE_MS = 3000;
 const SETTLE_DEADLINE_MS = 2000;
-const BACKGROUND_SETTLE_MS = 60_000;
-const FIRST_POLL_MS = 40;
-const LONGEST_POLL_MS = 400;
+const BACKGROUND_SETTLE_DEADLINE_MS = 60_000;
+const INITIAL_POLL_MS = 40;
+const MAX_POLL_MS = 400;
 const MAX_ATTEMPTS = 4;
 const MAX_KEY_CHARACTERS = 200;
 /** Largest response body that the ledger stores. */
-const MAX_KEPT_ANSWER_BYTES = 65_536;
-const PASSED_HEADERS = ['content-type', 'accept', 'authorization', 'accept-language', 'carawayhoist-team'];
+const MAX_STORED_RESPONSE_BYTES = 65_536;
+const FORWARDED_HEADERS = ['content-type', 'accept', 'authorization', 'accept-language', 'carawayhoist-team'];
 
 /** Serves calls to the declared services on one entry host. */
 export class ServiceHandler {
@@ -96,7 +96,7 @@
 		const call: Call = {
 			exchange, body, match, deadlineMs: clock.monotonicMs() + (match.route.deadlineMs ?? DEFAULT_DEADLINE_MS),
 		};
-		const result = match.route.repeatable ? await this.#runRepeatable(call) : await this.#runOnce(call);
+		const result = match.route.repeatable ? await this.#runRepeatable(call) : await this.#runNonRepeatable(call);
 		const outcome = Either.isRight(result) ? 'done' : result.left.name;
 		metrics.requests.inc({kind, outcome});
 		if (Either.isLeft(result)) {
@@ -106,14 +106,14 @@
 		}
 
 		journal.end(exchange.id, `Answered with status ${result.right.status}.`, clock.wallMs());
-		sendAnswer(exchange, result.right);
+		sendResponse(exchange, result.right);
 	}
 
 	async #runRepeatable(call: Call): Promise<Either.Either<Problem, PlainResponse>> {
 		const {clock, pool, metrics} = this.#options;
 		const tried = new Set<string>();
 		for (let attempt = 1; attempt <= MAX_ATTEMPTS && clock.monotonicMs() < call.deadlineMs; attempt++) {
-			const server = this.#choose(call, tried);
+			const server = this.#chooseServer(call, tried);
 			if (!server) {
 				break;
 			}
@@ -121,7 +121,7 @@
 			// Retries open a new connection, because the pooled one may be dead without having been closed.
 			const leftMs = call.deadlineMs - clock.monotonicMs();
 			const timeoutMs = attempt === 1 ? Math.min(leftMs, Math.max(500, leftMs / 3)) : leftMs;
-			const result = await this.#send(call, server, {attempt, timeoutMs, isFresh: attempt > 1});
+			const result = await this.#send(call, server, {attempt, timeoutMs, usesNewConnection: attempt > 1});
 			if (result.type === 'response') {
 				pool.health.recordSuccess(server.server);
 				return Either.right(result.response);
@@ -134,63 +134,63 @@
 			}
 		}
 
-		const isLate = clock.monotonicMs() >= call.deadlineMs;
-		return Either.left(isLate ? createProblem('deadlineExceeded', undefined, 1) : createProblem(tried.size > 0 ? 'serverFailed' : 'noServer', undefined, 1));
+		const isPastDeadline = clock.monotonicMs() >= call.deadlineMs;
+		return Either.left(isPastDeadline ? createProblem('deadlineExceeded', undefined, 1) : createProblem(tried.size > 0 ? 'serverFailed' : 'noServer', undefined, 1));
 	}
 
-	async #runOnce(call: Call): Promise<Either.Either<Problem, PlainResponse>> {
+	async #runNonRepeatable(call: Call): Promise<Either.Either<Problem, PlainResponse>> {
 		const key = readHeader(call.exchange.request, call.match.route.keyHeader ?? DEFAULT_KEY_HEADER);
 		if (key === undefined || key === '') {
-			return describeOnce(await this.#sendOnce(call));
+			return convertResult(await this.#sendAtMostOnce(call));
 		}
 
 		if (key.length > MAX_KEY_CHARACTERS) {
 			return Either.left(createProblem('badRequest', `The idempotency key has more than ${MAX_KEY_CHARACTERS} characters.`));
 		}
 
-		return this.#runClaimed(call, key);
+		return this.#runWithKey(call, key);
 	}
 
-	async #runClaimed(call: Call, callerKey: string): Promise<Either.Either<Problem, PlainResponse>> {
+	async #runWithKey(call: Call, callerKey: string): Promise<Either.Either<Problem, PlainResponse>> {
 		const {clock} = this.#options;
 		const team = readHeader(call.exchange.request, 'carawayhoist-team') ?? 'default';
 		const key = `${call.match.service}/${team}/${callerKey}`;
 		const fingerprint = fingerprintCall(call);
 		// Every poll uses the same attempt ID, so that this call recognizes its claim whichever copy was granted.
-		const claimed: Claimed = {key, attempt: `${this.#options.boot}/${this.#nextAttempt++}`};
-		let pollMs = FIRST_POLL_MS;
+		const claim: LedgerClaim = {key, attempt: `${this.#options.boot}/${this.#nextAttempt++}`};
+		let pollMs = INITIAL_POLL_MS;
 		for (;;) {
-			const claim = await this.#claim(claimed, fingerprint);
-			if (Either.isLeft(claim)) {
-				this.#giveBack(claimed);
-				return claim;
+			const claimResult = await this.#claim(claim, fingerprint);
+			if (Either.isLeft(claimResult)) {
+				this.#releaseClaim(claim);
+				return claimResult;
 			}
 
-			if (claim.right.state === 'granted') {
-				return this.#runGranted(call, claimed);
+			if (claimResult.right.state === 'granted') {
+				return this.#runGranted(call, claim);
 			}
 
-			if (claim.right.state !== 'in-flight') {
-				this.#note(call, describeKnown(claim.right));
-				this.#giveBack(claimed);
-				return describeLedger(claim.right);
+			if (claimResult.right.state !== 'in-flight') {
+				this.#addStep(call, describeLedgerOutcome(claimResult.right));
+				this.#releaseClaim(claim);
+				return convertLedgerOutcome(claimResult.right);
 			}
 
 			if (clock.monotonicMs() + pollMs > call.deadlineMs) {
-				this.#giveBack(claimed);
+				this.#releaseClaim(claim);
 				return Either.left(createProblem('outcomeUnknown', 'The first request with this key is still running; send it again later with the same key.', 1));
 			}
 
-			this.#note(call, `The same key is in flight through host ${claim.right.host}; this call waits for that answer.`);
+			this.#addStep(call, `The same key is in flight through host ${claimResult.right.host}; this call waits for that answer.`);
 			await sleep(pollMs);
-			pollMs = Math.min(LONGEST_POLL_MS, pollMs * 2);
+			pollMs = Math.min(MAX_POLL_MS, pollMs * 2);
 		}
 	}
 
-	async #claim(claimed: Claimed, fingerprint: string): Promise<Either.Either<Problem, LedgerOutcome>> {
+	async #claim(claim: LedgerClaim, fingerprint: string): Promise<Either.Either<Problem, LedgerOutcome>> {
 		const {client, clock, host} = this.#options;
 		const proposed = await client.propose({
-			type: 'claim', at: clock.wallMs(), key: claimed.key, fingerprint, attempt: claimed.attempt, host,
+			type: 'claim', at: clock.wallMs(), key: claim.key, fingerprint, attempt: claim.attempt, host,
 		}, CLAIM_DEADLINE_MS)();
 		if (Either.isLeft(proposed)) {
 			return Either.left(createProblem('noQuorum', undefined, 1));
@@ -200,47 +200,47 @@
 		return outcome.type === 'ledger' ? Either.right(outcome) : Either.left(createProblem('notStarted', undefined, 1));
 	}
 
-	async #runGranted(call: Call, claimed: Claimed): Promise<Either.Either<Problem, PlainResponse>> {
-		this.#note(call, 'The ledger has granted this key: it has not run before.');
-		const result = await this.#sendOnce(call);
+	async #runGranted(call: Call, claim: LedgerClaim): Promise<Either.Either<Problem, PlainResponse>> {
+		this.#addStep(call, 'The ledger has granted this key: it has not run before.');
+		const result = await this.#sendAtMostOnce(call);
 		const settlement = createSettlement(result);
 		const {client, clock} = this.#options;
 		const settled = await client.propose({
-			type: 'settle', at: clock.wallMs(), key: claimed.key, attempt: claimed.attempt, ...settlement,
+			type: 'settle', at: clock.wallMs(), key: claim.key, attempt: claim.attempt, ...settlement,
 		}, SETTLE_DEADLINE_MS)();
 		if (Either.isLeft(settled)) {
-			this.#note(call, 'The outcome could not be written to the ledger yet; that goes on in the background.');
-			this.#settleInBackground(claimed, settlement);
+			this.#addStep(call, 'The outcome could not be written to the ledger yet; that goes on in the background.');
+			this.#settleInBackground(claim, settlement);
 		}
 
-		return describeOnce(result);
+		return convertResult(result);
 	}
 
 	/** Releases the claim. A copy of it may still be committed later and must not be granted to a call that has ended. */
-	#giveBack(claimed: Claimed): void {
-		this.#settleInBackground(claimed, {outcome: 'not-run'});
+	#releaseClaim(claim: LedgerClaim): void {
+		this.#settleInBackground(claim, {outcome: 'not-run'});
 	}
 
-	#settleInBackground(claimed: Claimed, settlement: Pick<SettleCommand, 'outcome' | 'answer'>): void {
+	#settleInBackground(claim: LedgerClaim, settlement: Pick<SettleCommand, 'outcome' | 'answer'>): void {
 		const {client, clock} = this.#options;
 		void client.propose({
-			type: 'settle', at: clock.wallMs(), key: claimed.key, attempt: claimed.attempt, ...settlement,
-		}, BACKGROUND_SETTLE_MS)();
+			type: 'settle', at: clock.wallMs(), key: claim.key, attempt: claim.attempt, ...settlement,
+		}, BACKGROUND_SETTLE_DEADLINE_MS)();
 	}
 
 	/** Sends the call to one server after another until one may have run it. */
-	async #sendOnce(call: Call): Promise<PlainResult> {
+	async #sendAtMostOnce(call: Call): Promise<PlainResult> {
 		const {clock, pool} = this.#options;
 		const tried = new Set<string>();
 		let last: PlainResult = {type: 'not-run', text: 'No server is in use.'};
 		for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
-			const server = this.#choose(call, tried);
+			const server = this.#chooseServer(call, tried);
 			const timeoutMs = call.deadlineMs - clock.monotonicMs();
 			if (!server || timeoutMs <= 0) {
 				return last;
 			}
 
-			last = await this.#send(call, server, {attempt, timeoutMs, isFresh: true});
+			last = await this.#send(call, server, {attempt, timeoutMs, usesNewConnection: true});
 			if (last.type !== 'not-run') {
 				return last;
 			}
@@ -252,7 +252,7 @@
 		return last;
 	}
 
-	#choose(call: Call, tried: ReadonlySet<string>): Announcement | undefined {
+	#chooseServer(call: Call, tried: ReadonlySet<string>): Announcement | undefined {
 		const {pool, random, logger} = this.#options;
 		const servers = pool.listPlainServers(call.match.service, tried);
 		const first = pick(servers, random);
@@ -268,29 +268,29 @@
 		return chosen;
 	}
 
-	async #send(call: Call, server: Announcement, options: {attempt: number; timeoutMs: number; isFresh: boolean}): Promise<PlainResult> {
+	async #send(call: Call, server: Announcement, options: {attempt: number; timeoutMs: number; usesNewConnection: boolean}): Promise<PlainResult> {
 		const {plainClient, pool, clock} = this.#options;
 		const id = `${call.exchange.id}.${options.attempt}`;
-		this.#note(call, `It goes to server ${server.server}.`);
+		this.#addStep(call, `It goes to server ${server.server}.`);
 		pool.loads.startRequest(server.server, id, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
 		const result = await plainClient.send(server, {
 			id,
 			method: call.exchange.method,
 			path: call.exchange.request.url ?? call.exchange.path,
-			headers: passHeaders(call),
+			headers: selectForwardedHeaders(call),
 			body: call.body,
 			timeoutMs: options.timeoutMs,
-			usesNewConnection: options.isFresh,
+			usesNewConnection: options.usesNewConnection,
 		});
 		pool.loads.endRequest(server.server, id);
 		if (result.type !== 'response') {
-			this.#note(call, `Server ${server.server}: ${result.text} (${result.type}).`);
+			this.#addStep(call, `Server ${server.server}: ${result.text} (${result.type}).`);
 		}
 
 		return result;
 	}
 
-	#note(call: Call, text: string): void {
+	#addStep(call: Call, text: string): void {
 		this.#options.journal.addStep(call.exchange.id, text, this.#options.clock.wallMs());
 	}
 }
@@ -313,12 +313,12 @@
 	}
 
 	const {status, contentType, body} = result.response;
-	return body.length > MAX_KEPT_ANSWER_BYTES
+	return body.length > MAX_STORED_RESPONSE_BYTES
 		? {outcome: 'done'}
 		: {outcome: 'done', answer: {status, contentType, body: new Uint8Array(body)}};
 }
 
-function describeOnce(result: PlainResult): Either.Either<Problem, PlainResponse> {
+function convertResult(result: PlainResult): Either.Either<Problem, PlainResponse> {
 	switch (result.type) {
 		case 'response': {
 			return Either.right(result.response);
@@ -334,11 +334,11 @@
 	}
 }
 
-function describeLedger(known: LedgerOutcome): Either.Either<Problem, PlainResponse> {
-	switch (known.state) {
+function convertLedgerOutcome(ledgerOutcome: LedgerOutcome): Either.Either<Problem, PlainResponse> {
+	switch (ledgerOutcome.state) {
 		case 'done': {
-			return known.answer
-				? Either.right({...known.answer, body: Buffer.from(known.answer.body)})
+			return ledgerOutcome.answer
+				? Either.right({...ledgerOutcome.answer, body: Buffer.from(ledgerOutcome.answer.body)})
 				: Either.left(createProblem('outcomeUnknown', 'It ran once; its answer was too large to keep.'));
 		}
 
@@ -358,16 +358,16 @@
 	}
 }
 
-function describeKnown(known: LedgerOutcome): string {
+function describeLedgerOutcome(ledgerOutcome: LedgerOutcome): string {
 	const texts = {
 		granted: 'The key is free.',
 		'in-flight': 'The key is in flight.',
-		done: `The key has run once, through host ${known.host}; its stored answer is given again.`,
+		done: `The key has run once, through host ${ledgerOutcome.host}; its stored answer is given again.`,
 		'not-run': 'The claim was given back before it was granted.',
-		unknown: `The key was claimed through host ${known.host}, which was lost before it could tell the outcome; it is not run again.`,
+		unknown: `The key was claimed through host ${ledgerOutcome.host}, which was lost before it could tell the outcome; it is not run again.`,
 		reused: 'The key was used with another request.',
 	};
-	return texts[known.state];
+	return texts[ledgerOutcome.state];
 }
 
 function fingerprintCall(call: Call): string {
@@ -378,8 +378,8 @@
 		.slice(0, 24);
 }
 
-function passHeaders(call: Call): Record<string, string> {
-	const names = [...PASSED_HEADERS, call.match.route.keyHeader ?? DEFAULT_KEY_HEADER];
+function selectForwardedHeaders(call: Call): Record<string, string> {
+	const names = [...FORWARDED_HEADERS, call.match.route.keyHeader ?? DEFAULT_KEY_HEADER];
 	const headers: Record<string, string> = {};
 	for (const name of names) {
 		const value = readHeader(call.exchange.request, name);
@@ -391,13 +391,13 @@
 	return headers;
 }
 
-function sendAnswer(exchange: Exchange, answer: PlainResponse): void {
+function sendResponse(exchange: Exchange, response: PlainResponse): void {
 	if (exchange.response.destroyed || exchange.response.headersSent) {
 		return;
 	}
 
-	exchange.response.writeHead(answer.status, {
-		'content-type': answer.contentType, 'content-length': answer.body.length, 'x-request-id': exchange.id,
+	exchange.response.writeHead(response.status, {
+		'content-type': response.contentType, 'content-length': response.body.length, 'x-request-id': exchange.id,
 	});
-	exchange.response.end(answer.body);
+	exchange.response.end(response.body);
 }
--- a/src/entry/view.ts
+++ b/src/entry/view.ts
@@ -31,12 +31,12 @@
 
 	/** Applies an update. Returns false if it is older than the applied version or starts from a later one. */
 	apply(update: ViewUpdate): boolean {
-		const isWhole = update.from === NO_VERSION;
-		if (update.version < this.#version || (!isWhole && update.from > this.#version)) {
+		const isComplete = update.from === NO_VERSION;
+		if (update.version < this.#version || (!isComplete && update.from > this.#version)) {
 			return false;
 		}
 
-		if (isWhole) {
+		if (isComplete) {
 			this.#resources.clear();
 		}
 
@@ -61,7 +61,7 @@
 		return kind === undefined ? all : all.filter(resource => resource.specification.kind === kind);
 	}
 
-	/** Finds the planned change that excludes a server from new work. */
+	/** Finds the planned change that excludes a server from new work, if there is one. */
 	findExclusion(server: string): Resource | undefined {
 		return this.list('change').find(resource => excludesServer(resource, server));
 	}
@@ -91,8 +91,8 @@
 	readonly onChange: () => void;
 };
 
-const RENEW_EVERY_MS = 400;
-const BUSY_RENEW_EVERY_MS = 100;
+const RENEW_INTERVAL_MS = 400;
+const CHANGE_RENEW_INTERVAL_MS = 100;
 
 /** Keeps a resource view up to date and renews its lease. Its creator must close it. */
 export class ViewTask {
@@ -104,7 +104,7 @@
 	#isRenewing = false;
 	#isLeaving = false;
 	#isClosed = false;
-	#hasRead = false;
+	#hasInitialView = false;
 
 	constructor(options: ViewTaskOptions) {
 		this.#options = options;
@@ -123,7 +123,7 @@
 
 	/** Whether the view was read from a majority since this process started. */
 	get isReady(): boolean {
-		return this.#hasRead;
+		return this.#hasInitialView;
 	}
 
 	/** Adds a listener for changes of the view. Returns a function that removes it. */
@@ -134,7 +134,7 @@
 
 	/** Applies an update that the leader pushed. */
 	receivePush(message: RenewReply): void {
-		if (this.#hasRead) {
+		if (this.#hasInitialView) {
 			this.#apply(message);
 			this.#schedule(0);
 		}
@@ -166,42 +166,42 @@
 		}
 
 		this.#isRenewing = true;
-		if (!this.#hasRead) {
-			await this.#readFirst();
+		if (!this.#hasInitialView) {
+			await this.#readInitialView();
 		}
 
-		if (this.#hasRead) {
+		if (this.#hasInitialView) {
 			await this.#renewLease();
 		}
 
 		this.#isRenewing = false;
-		const isBusy = this.#options.view.listChangingServers().length > 0;
-		this.#schedule(isBusy ? BUSY_RENEW_EVERY_MS : RENEW_EVERY_MS);
+		const hasOpenChange = this.#options.view.listChangingServers().length > 0;
+		this.#schedule(hasOpenChange ? CHANGE_RENEW_INTERVAL_MS : RENEW_INTERVAL_MS);
 	}
 
 	/** Reads the initial view with the confirmation of a majority, because a single replica may be behind. */
-	async #readFirst(): Promise<void> {
-		const listing = await this.#options.client.readResources(NO_VERSION)();
-		if (Either.isRight(listing)) {
-			this.#options.view.apply(listing.right.view);
-			this.#hasRead = true;
-			this.#options.logger.info(`Loaded configuration version ${listing.right.view.version}.`, {version: listing.right.view.version});
+	async #readInitialView(): Promise<void> {
+		const reply = await this.#options.client.readResources(NO_VERSION)();
+		if (Either.isRight(reply)) {
+			this.#options.view.apply(reply.right.view);
+			this.#hasInitialView = true;
+			this.#options.logger.info(`Loaded configuration version ${reply.right.view.version}.`, {version: reply.right.view.version});
 			this.#notify();
 		}
 	}
 
 	async #renewLease(): Promise<void> {
 		// The lease starts before the request is sent, so that it expires here before it expires at the leader.
-		const askedMs = this.#options.clock.monotonicMs();
-		const renewed = await this.#options.client.renewViewLease(this.#createRenewal())();
-		if (Either.isLeft(renewed)) {
-			this.#options.logger.debug('Failed to renew the view lease.', {code: renewed.left.code});
+		const requestedMs = this.#options.clock.monotonicMs();
+		const reply = await this.#options.client.renewViewLease(this.#createRenewal())();
+		if (Either.isLeft(reply)) {
+			this.#options.logger.debug('Failed to renew the view lease.', {code: reply.left.code});
 			return;
 		}
 
-		this.#renewedMs = askedMs;
-		this.#leaseUntilMs = askedMs + renewed.right.leaseMs;
-		this.#apply(renewed.right);
+		this.#renewedMs = requestedMs;
+		this.#leaseUntilMs = requestedMs + reply.right.leaseMs;
+		this.#apply(reply.right);
 	}
 
 	#createRenewal(): Parameters<ControlClient['renewViewLease']>[0] {
@@ -216,15 +216,15 @@
 
 	#apply(message: RenewReply): void {
 		const {view, client, logger} = this.#options;
-		const before = view.version;
+		const previousVersion = view.version;
 		client.updateMembers(message.members);
 		if (!view.apply(message.view)) {
-			logger.warn('Ignored a configuration update that is older or leaves a gap.', {have: before, got: message.view.version});
+			logger.warn('Ignored a configuration update that is older or leaves a gap.', {have: previousVersion, got: message.view.version});
 			return;
 		}
 
-		if (view.version !== before) {
-			logger.info(`Applied configuration version ${view.version}.`, {version: view.version, from: before});
+		if (view.version !== previousVersion) {
+			logger.info(`Applied configuration version ${view.version}.`, {version: view.version, from: previousVersion});
 			this.#notify();
 		}
 	}
--- a/src/membership/discovery.ts
+++ b/src/membership/discovery.ts
@@ -6,8 +6,8 @@
 import type {Announcement, Feed} from '../generated/types.js';
 import {ServerRegistry} from './registry.js';
 
-/** Feeds carry only changes, so that an entry host receives nothing for a server is no sign that it is silent. */
-const TIMING = {silentAfterMs: Number.POSITIVE_INFINITY, forgetAfterMs: Number.POSITIVE_INFINITY};
+/** Servers never expire here: feeds carry only changes, and the control hosts report which servers are silent. */
+const NO_EXPIRY = {silentAfterMs: Number.POSITIVE_INFINITY, forgetAfterMs: Number.POSITIVE_INFINITY};
 
 /** State of the connections to the control hosts. */
 export type ControlHostStatus = {
@@ -17,26 +17,26 @@
 
 /** The backend servers, merged from all feeds. */
 export class ServerDiscovery {
-	readonly #registry = new ServerRegistry(TIMING);
-	/** For each control host, the servers it lists and whether they are up there: neither silent nor gone. */
-	readonly #claims = new Map<string, Map<string, boolean>>();
-	readonly #live: ControlHostStatus;
+	readonly #registry = new ServerRegistry(NO_EXPIRY);
+	/** For each control host, the servers it lists and whether they are up, that is, neither silent nor gone. */
+	readonly #reports = new Map<string, Map<string, boolean>>();
+	readonly #controlHosts: ControlHostStatus;
 
-	constructor(live: ControlHostStatus) {
-		this.#live = live;
+	constructor(controlHosts: ControlHostStatus) {
+		this.#controlHosts = controlHosts;
 	}
 
 	/** Merges a feed. Returns whether it contained server statuses or replaced all earlier ones. */
 	merge(feed: Feed, control: string, nowMs: number): boolean {
-		let claims = this.#claims.get(control);
-		if (!claims || feed.whole) {
-			claims = new Map();
-			this.#claims.set(control, claims);
+		let reports = this.#reports.get(control);
+		if (!reports || feed.whole) {
+			reports = new Map();
+			this.#reports.set(control, reports);
 		}
 
-		for (const sighting of feed.sightings) {
-			claims.set(sighting.announcement.server, !sighting.silent && !sighting.gone);
-			this.#registry.mergeStatus(sighting, nowMs);
+		for (const status of feed.sightings) {
+			reports.set(status.announcement.server, !status.silent && !status.gone);
+			this.#registry.mergeStatus(status, nowMs);
 		}
 
 		return feed.whole || feed.sightings.length > 0;
@@ -44,13 +44,13 @@
 
 	/** Lists the servers that accept new work and are up according to at least one live, warm control host. */
 	listUsable(): Announcement[] {
-		const claims = this.#live.listLive()
-			.filter(control => this.#live.isWarm(control))
-			.map(control => this.#claims.get(control))
-			.filter(claim => claim !== undefined);
+		const reports = this.#controlHosts.listLive()
+			.filter(control => this.#controlHosts.isWarm(control))
+			.map(control => this.#reports.get(control))
+			.filter(report => report !== undefined);
 		const usable = this.#registry.listUsable();
 		// While no control host is both live and warm, the last known servers stay in use.
-		return claims.length === 0 ? usable : usable.filter(({server}) => claims.some(claim => claim.get(server) === true));
+		return reports.length === 0 ? usable : usable.filter(({server}) => reports.some(report => report.get(server) === true));
 	}
 
 	findServer(server: string): Announcement | undefined {
--- a/src/membership/feed.ts
+++ b/src/membership/feed.ts
@@ -22,9 +22,9 @@
 
 /** Interval of heartbeats in both directions. A subscriber drops a connection after four missed ones. */
 export const FEED_INTERVAL_MS = 300;
-const SILENCE_LIMIT_MS = 1200;
+const HEARTBEAT_TIMEOUT_MS = 1200;
 /** Changes within this time are sent in one feed message. */
-const COALESCE_MS = 5;
+const COALESCE_DELAY_MS = 5;
 /**
  * No publication is sent while this much unsent data is buffered on the connection. When publications arrive in quick
  * succession, a slow subscriber thus receives only the latest.
@@ -55,7 +55,7 @@
 	/** Revision of the server registry up to which changes were sent. */
 	revision: number;
 	isNew: boolean;
-	heardMs: number;
+	lastReceivedMs: number;
 };
 
 /** Publishes the feed of a control host. Its creator must close it. */
@@ -64,7 +64,7 @@
 	readonly #subscribers = new Map<Connection, Subscriber>();
 	readonly #timer: NodeJS.Timeout;
 	#pending: NodeJS.Timeout | undefined;
-	#deflated: {readonly version: number; readonly bytes: Uint8Array} | undefined;
+	#compressed: {readonly version: number; readonly bytes: Uint8Array} | undefined;
 
 	constructor(options: FeedPublisherOptions) {
 		this.#options = options;
@@ -90,12 +90,12 @@
 		const known = this.#subscribers.get(connection);
 		if (known) {
 			known.version = Math.max(known.version, message.version);
-			known.heardMs = this.#options.clock.monotonicMs();
+			known.lastReceivedMs = this.#options.clock.monotonicMs();
 			return;
 		}
 
 		this.#subscribers.set(connection, {
-			host: message.host, role: message.role, version: message.version, revision: 0, isNew: true, heardMs: this.#options.clock.monotonicMs(),
+			host: message.host, role: message.role, version: message.version, revision: 0, isNew: true, lastReceivedMs: this.#options.clock.monotonicMs(),
 		});
 		connection.onClose(() => {
 			this.#subscribers.delete(connection);
@@ -108,7 +108,7 @@
 		this.#pending ??= setTimeout(() => {
 			this.#pending = undefined;
 			this.#publish(false);
-		}, COALESCE_MS);
+		}, COALESCE_DELAY_MS);
 	}
 
 	close(): void {
@@ -116,16 +116,16 @@
 		clearTimeout(this.#pending);
 	}
 
-	#publish(isDue: boolean): void {
+	#publish(isHeartbeat: boolean): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		for (const [connection, subscriber] of this.#subscribers) {
-			if (nowMs - subscriber.heardMs > SILENCE_LIMIT_MS * 2) {
+			if (nowMs - subscriber.lastReceivedMs > HEARTBEAT_TIMEOUT_MS * 2) {
 				connection.close();
 				continue;
 			}
 
 			const feed = this.#createFeed(connection, subscriber);
-			if (isDue || feed.whole || feed.publication !== undefined || feed.sightings.length > 0) {
+			if (isHeartbeat || feed.whole || feed.publication !== undefined || feed.sightings.length > 0) {
 				connection.send(feed);
 			}
 		}
@@ -149,18 +149,18 @@
 		subscriber.isNew = false;
 		if (publication && publication.version > subscriber.version && connection.bufferedBytes < MAX_BUFFERED_BYTES) {
 			subscriber.version = publication.version;
-			return {...feed, publication: this.#deflate(publication)};
+			return {...feed, publication: this.#compress(publication)};
 		}
 
 		return feed;
 	}
 
-	#deflate({version, body}: PublicationText): Uint8Array {
-		if (this.#deflated?.version !== version) {
-			this.#deflated = {version, bytes: deflateRawSync(body)};
+	#compress({version, body}: PublicationText): Uint8Array {
+		if (this.#compressed?.version !== version) {
+			this.#compressed = {version, bytes: deflateRawSync(body)};
 		}
 
-		return this.#deflated.bytes;
+		return this.#compressed.bytes;
 	}
 }
 
@@ -196,22 +196,22 @@
 type Source = {
 	readonly address: Address;
 	connection: Connection | undefined;
-	openedMs: number;
-	heardMs: number;
+	connectStartedMs: number;
+	lastReceivedMs: number;
 	hasQuorum: boolean;
 	isWarm: boolean;
 	/** Monotonic time at which a feed or the settings last listed this control host, milliseconds. */
-	namedMs: number;
+	lastListedMs: number;
 };
 
 /** Time after which a control host that no feed lists any more is removed. */
-const FORGET_MS = 60_000;
+const SOURCE_RETENTION_MS = 60_000;
 
 /** Subscribes to the feeds of all known control hosts, one connection each. Its creator must close it. */
 export class FeedSubscription {
 	readonly #options: FeedSubscriptionOptions;
 	readonly #sources = new Map<string, Source>();
-	readonly #told = new Set<string>();
+	readonly #seedKeys = new Set<string>();
 	readonly #timer: NodeJS.Timeout;
 	#isClosed = false;
 
@@ -227,8 +227,8 @@
 	/** Adds control hosts from the settings. Earlier seeds are kept. */
 	addSeeds(seeds: readonly Address[]): void {
 		for (const seed of seeds) {
-			this.#told.add(toKey(seed));
-			this.#learn(seed);
+			this.#seedKeys.add(formatKey(seed));
+			this.#addSource(seed);
 		}
 	}
 
@@ -242,7 +242,7 @@
 		const nowMs = this.#options.clock.monotonicMs();
 		const live: string[] = [];
 		for (const [key, source] of this.#sources) {
-			if (source.connection?.isOpen && source.hasQuorum && nowMs - source.heardMs < SILENCE_LIMIT_MS) {
+			if (source.connection?.isOpen && source.hasQuorum && nowMs - source.lastReceivedMs < HEARTBEAT_TIMEOUT_MS) {
 				live.push(key);
 			}
 		}
@@ -277,24 +277,24 @@
 	#tick(): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		for (const [key, source] of this.#sources) {
-			const isSilent = nowMs - Math.max(source.heardMs, source.openedMs) > SILENCE_LIMIT_MS;
-			if (source.connection?.isOpen && !isSilent) {
+			const isTimedOut = nowMs - Math.max(source.lastReceivedMs, source.connectStartedMs) > HEARTBEAT_TIMEOUT_MS;
+			if (source.connection?.isOpen && !isTimedOut) {
 				source.connection.send(this.#createWatch());
 				continue;
 			}
 
 			source.connection?.close();
-			if (nowMs - source.namedMs > FORGET_MS && !this.#told.has(key)) {
+			if (nowMs - source.lastListedMs > SOURCE_RETENTION_MS && !this.#seedKeys.has(key)) {
 				this.#sources.delete(key);
 				continue;
 			}
 
-			this.#open(key, source, nowMs);
+			this.#connect(key, source, nowMs);
 		}
 	}
 
-	#open(key: string, source: Source, nowMs: number): void {
-		source.openedMs = nowMs;
+	#connect(key: string, source: Source, nowMs: number): void {
+		source.connectStartedMs = nowMs;
 		const connection = connect(source.address, message => {
 			if (source.connection === connection) {
 				this.#onMessage(message, key, source);
@@ -321,7 +321,7 @@
 		}
 
 		const nowMs = this.#options.clock.monotonicMs();
-		source.heardMs = nowMs;
+		source.lastReceivedMs = nowMs;
 		if (source.hasQuorum !== message.hasQuorum) {
 			this.#options.logger.info(`Control host ${key} ${message.hasQuorum ? 'is' : 'is no longer'} connected to a majority of the control hosts.`, {control: key});
 		}
@@ -329,29 +329,29 @@
 		source.hasQuorum = message.hasQuorum;
 		source.isWarm = message.isWarm;
 		for (const member of message.members) {
-			this.#learn(member);
+			this.#addSource(member);
 		}
 
 		this.#options.onFeed(message, key);
 	}
 
-	#learn(address: Address): void {
-		const key = toKey(address);
+	#addSource(address: Address): void {
+		const key = formatKey(address);
 		const nowMs = this.#options.clock.monotonicMs();
 		const known = this.#sources.get(key);
 		if (known) {
-			known.namedMs = nowMs;
+			known.lastListedMs = nowMs;
 			return;
 		}
 
 		this.#sources.set(key, {
 			address: {address: address.address, port: address.port},
 			connection: undefined,
-			openedMs: Number.NEGATIVE_INFINITY,
-			heardMs: Number.NEGATIVE_INFINITY,
+			connectStartedMs: Number.NEGATIVE_INFINITY,
+			lastReceivedMs: Number.NEGATIVE_INFINITY,
 			hasQuorum: false,
 			isWarm: false,
-			namedMs: nowMs,
+			lastListedMs: nowMs,
 		});
 	}
 
@@ -363,6 +363,6 @@
 	}
 }
 
-function toKey({address, port}: Address): string {
+function formatKey({address, port}: Address): string {
 	return `${address}:${port}`;
 }
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -33,8 +33,8 @@
 export const FANOUT = 2;
 /** Largest size of one message's facts. Five rounds per second to two hosts stay below 5 KB/s. */
 export const MAX_RUMOR_BYTES = 480;
-const COMPARE_EVERY_ROUNDS = 15;
-const REFRESH_EVERY_ROUNDS = 300;
+const DIGEST_EVERY_ROUNDS = 15;
+const ANNOUNCE_EVERY_ROUNDS = 300;
 
 /** Runs the gossip protocol of one host. Its creator must close it. */
 export class GossipTask {
@@ -55,18 +55,18 @@
 		this.#timer = setInterval(() => {
 			this.#tick();
 		}, ROUND_INTERVAL_MS);
-		this.#compare(this.#choosePeers(FANOUT));
+		this.#sendDigest(this.#choosePeers(FANOUT));
 	}
 
-	/** Merges a local fact and forwards it in the next rounds. With `toAll`, an urgent one is also sent to every host at once. */
+	/** Merges a local fact, which is forwarded in the next rounds. With `toAll`, an urgent one is also sent to all hosts at once. */
 	publish(fact: Fact, toAll = false): void {
 		const result = this.#options.directory.merge(fact, this.#options.clock.monotonicMs());
 		if (toAll && result === FACT_MERGE_RESULTS.urgent) {
-			this.#send(this.#allPeers(), {facts: [fact]});
+			this.#send(this.#listAllPeers(), {facts: [fact]});
 		}
 	}
 
-	/** Merges the facts of a message. If the digests differ, both hosts exchange all their facts. */
+	/** Merges the facts of a message. If it has a digest that differs from the local one, both hosts exchange all facts. */
 	receive(message: GossipMessage): void {
 		const {directory, clock} = this.#options;
 		const nowMs = clock.monotonicMs();
@@ -99,13 +99,13 @@
 	#tick(): void {
 		this.#round++;
 		const {directory, clock} = this.#options;
-		if (this.#round % REFRESH_EVERY_ROUNDS === 0) {
+		if (this.#round % ANNOUNCE_EVERY_ROUNDS === 0) {
 			this.#announceSelf(false);
 			directory.expire(clock.monotonicMs());
 		}
 
-		if (this.#round % COMPARE_EVERY_ROUNDS === 0) {
-			this.#compare(this.#choosePeers(1));
+		if (this.#round % DIGEST_EVERY_ROUNDS === 0) {
+			this.#sendDigest(this.#choosePeers(1));
 		}
 
 		for (const peer of this.#choosePeers(FANOUT)) {
@@ -116,7 +116,7 @@
 		}
 	}
 
-	#compare(peers: readonly Peer[]): void {
+	#sendDigest(peers: readonly Peer[]): void {
 		this.#send(peers, {facts: [], digest: this.#options.directory.digest()});
 	}
 
@@ -135,14 +135,14 @@
 	}
 
 	#choosePeers(count: number): Peer[] {
-		return shuffle(this.#allPeers(), this.#options.random).slice(0, count);
+		return shuffle(this.#listAllPeers(), this.#options.random).slice(0, count);
 	}
 
-	#allPeers(): Peer[] {
-		const known = this.#options.directory.listPeers();
-		const gone = new Set(this.#options.directory.listHosts().map(fact => fact.peer.host));
-		const seeds = this.#options.seeds.filter(seed => seed.host !== this.#options.self.host && !gone.has(seed.host));
-		return [...known, ...seeds];
+	#listAllPeers(): Peer[] {
+		const peers = this.#options.directory.listPeers();
+		const knownHosts = new Set(this.#options.directory.listHosts().map(fact => fact.peer.host));
+		const seeds = this.#options.seeds.filter(seed => seed.host !== this.#options.self.host && !knownHosts.has(seed.host));
+		return [...peers, ...seeds];
 	}
 
 	#send(peers: readonly Peer[], message: Omit<GossipMessage, 'type' | 'from'>): void {
--- a/src/membership/registry.ts
+++ b/src/membership/registry.ts
@@ -29,20 +29,20 @@
  */
 export const DEFAULT_REGISTRY_TIMING: RegistryTiming = {silentAfterMs: 6000, forgetAfterMs: 60_000};
 
-type Row = {
+type RegistryEntry = {
 	announcement: Announcement;
 	gone: boolean;
 	silent: boolean;
-	heardMs: number;
+	receivedMs: number;
 	/** Revision of the last change that affects routing. */
-	changed: number;
+	changedRevision: number;
 	/** Revision of the last merged announcement. */
-	refreshed: number;
+	refreshedRevision: number;
 };
 
 /** The backend servers known to one host. */
 export class ServerRegistry {
-	readonly #rows = new Map<string, Row>();
+	readonly #entries = new Map<string, RegistryEntry>();
 	readonly #timing: RegistryTiming;
 	#revision = 0;
 
@@ -56,18 +56,18 @@
 	}
 
 	findStatus(server: string): ServerStatus | undefined {
-		const row = this.#rows.get(server);
-		return row && toSighting(row);
+		const entry = this.#entries.get(server);
+		return entry && toStatus(entry);
 	}
 
 	listStatuses(): ServerStatus[] {
-		return [...this.#rows.values()].map(row => toSighting(row));
+		return [...this.#entries.values()].map(entry => toStatus(entry));
 	}
 
 	/** Lists the servers that accept new work. */
 	listUsable(): Announcement[] {
 		const usable: Announcement[] = [];
-		for (const {announcement, gone, silent} of this.#rows.values()) {
+		for (const {announcement, gone, silent} of this.#entries.values()) {
 			if (!gone && !silent && announcement.leaving !== true) {
 				usable.push(announcement);
 			}
@@ -76,12 +76,12 @@
 		return usable;
 	}
 
-	/** Lists the servers that changed after a revision and, with `refreshes`, those that only announced themselves again. */
+	/** Lists the servers that changed after a revision. With `refreshes`, a repeated announcement counts as a change. */
 	listChangedSince(revision: number, refreshes: boolean): ServerStatus[] {
 		const result: ServerStatus[] = [];
-		for (const row of this.#rows.values()) {
-			if ((refreshes ? Math.max(row.changed, row.refreshed) : row.changed) > revision) {
-				result.push(toSighting(row));
+		for (const entry of this.#entries.values()) {
+			if ((refreshes ? Math.max(entry.changedRevision, entry.refreshedRevision) : entry.changedRevision) > revision) {
+				result.push(toStatus(entry));
 			}
 		}
 
@@ -90,7 +90,7 @@
 
 	/** Merges an announcement that came from the server itself or from another host. */
 	merge(announcement: Announcement, nowMs: number): MergeResult {
-		const known = this.#rows.get(announcement.server);
+		const known = this.#entries.get(announcement.server);
 		if (known && !isNewer(announcement, known.announcement)) {
 			return MERGE_RESULTS.none;
 		}
@@ -99,76 +99,76 @@
 			return MERGE_RESULTS.none;
 		}
 
-		if (!this.#claimAddress(announcement)) {
+		if (!this.#assignAddress(announcement)) {
 			return MERGE_RESULTS.none;
 		}
 
 		this.#revision++;
-		const isSameStart = known?.announcement.incarnation === announcement.incarnation;
-		const leaving = announcement.leaving === true || (isSameStart && known?.announcement.leaving === true);
+		const isSameIncarnation = known?.announcement.incarnation === announcement.incarnation;
+		const leaving = announcement.leaving === true || (isSameIncarnation && known?.announcement.leaving === true);
 		const merged = leaving ? {...announcement, leaving} : announcement;
-		const isChange = !known || known.silent || !isSameEssence(known.announcement, merged);
-		this.#rows.set(announcement.server, {
+		const isChange = !known || known.silent || !isEquivalent(known.announcement, merged);
+		this.#entries.set(announcement.server, {
 			announcement: merged,
 			gone: false,
 			silent: false,
-			heardMs: nowMs,
-			changed: isChange ? this.#revision : known.changed,
-			refreshed: this.#revision,
+			receivedMs: nowMs,
+			changedRevision: isChange ? this.#revision : known.changedRevision,
+			refreshedRevision: this.#revision,
 		});
 		return isChange ? MERGE_RESULTS.change : MERGE_RESULTS.refresh;
 	}
 
 	/**
-	 * Merges the status of a server on another host. That the server is silent there is ignored, because its
-	 * announcements may still arrive here; that it has deregistered counts here, too.
+	 * Merges the status of a server from another host. A server that is silent there may still announce itself here, so
+	 * only a deregistration is taken over.
 	 */
 	mergeStatus({announcement, gone, silent}: ServerStatus, nowMs: number): MergeResult {
-		const merge = silent ? MERGE_RESULTS.none : this.merge(announcement, nowMs);
-		const known = this.#rows.get(announcement.server);
+		const result = silent ? MERGE_RESULTS.none : this.merge(announcement, nowMs);
+		const known = this.#entries.get(announcement.server);
 		if (gone && known?.announcement.incarnation === announcement.incarnation && this.deregister(announcement.server)) {
 			return MERGE_RESULTS.change;
 		}
 
-		return merge;
+		return result;
 	}
 
 	/** Marks a server as gone. Returns false if it is unknown or already gone. */
 	deregister(server: string): boolean {
-		const known = this.#rows.get(server);
+		const known = this.#entries.get(server);
 		if (!known || known.gone) {
 			return false;
 		}
 
 		known.gone = true;
-		known.changed = ++this.#revision;
+		known.changedRevision = ++this.#revision;
 		return true;
 	}
 
 	/** Marks servers as silent or removes them, by the time since their last announcement. Returns the newly silent ones. */
 	expire(nowMs: number): string[] {
-		const silenced: string[] = [];
-		for (const [server, row] of this.#rows) {
-			const silenceMs = nowMs - row.heardMs;
+		const newlySilent: string[] = [];
+		for (const [server, entry] of this.#entries) {
+			const silenceMs = nowMs - entry.receivedMs;
 			if (silenceMs > this.#timing.forgetAfterMs) {
-				this.#rows.delete(server);
-			} else if (!row.silent && !row.gone && silenceMs > this.#timing.silentAfterMs) {
-				row.silent = true;
-				row.changed = ++this.#revision;
-				silenced.push(server);
+				this.#entries.delete(server);
+			} else if (!entry.silent && !entry.gone && silenceMs > this.#timing.silentAfterMs) {
+				entry.silent = true;
+				entry.changedRevision = ++this.#revision;
+				newlySilent.push(server);
 			}
 		}
 
-		return silenced;
+		return newlySilent;
 	}
 
 	/**
 	 * Assigns the announced address to its server and deregisters older servers at that address. Returns false if a
 	 * server with a higher incarnation has the address.
 	 */
-	#claimAddress(announcement: Announcement): boolean {
-		for (const row of this.#rows.values()) {
-			const other = row.announcement;
+	#assignAddress(announcement: Announcement): boolean {
+		for (const entry of this.#entries.values()) {
+			const other = entry.announcement;
 			if (other.server === announcement.server || other.address !== announcement.address || other.port !== announcement.port) {
 				continue;
 			}
@@ -190,7 +190,7 @@
 }
 
 /** Whether two announcements agree in all fields that affect routing. */
-function isSameEssence(a: Announcement, b: Announcement): boolean {
+function isEquivalent(a: Announcement, b: Announcement): boolean {
 	return a.incarnation === b.incarnation
 		&& a.address === b.address
 		&& a.port === b.port
@@ -201,6 +201,6 @@
 		&& a.models?.join(',') === b.models?.join(',');
 }
 
-function toSighting({announcement, gone, silent}: Row): ServerStatus {
+function toStatus({announcement, gone, silent}: RegistryEntry): ServerStatus {
 	return {announcement, gone, silent};
 }
