--- a/test/completion.test.ts
+++ b/test/completion.test.ts
@@ -81,7 +81,7 @@
 });
 
 test('invalid requests get an error code', async () => {
-	const wrong: ReadonlyArray<readonly [string, string, number]> = [
+	const invalid: ReadonlyArray<readonly [string, string, number]> = [
 		['not JSON', '{"model"', 2001],
 		['an array', '[]', 2001],
 		['no model', '{"messages": []}', 2001],
@@ -91,7 +91,7 @@
 		['two choices', '{"model": "chat-1", "messages": [{"role": "user", "content": "x"}], "n": 2}', 2001],
 		['too large', JSON.stringify({model: 'x'.repeat(70_000)}), 2002],
 	];
-	for (const [title, body, code] of wrong) {
+	for (const [title, body, code] of invalid) {
 		const response = await fetch(`${fixture.url}/v1/chat/completions`, {method: 'POST', body});
 		const {error} = await response.json() as {error: {code: number}};
 		assert.equal(error.code, code, title);
--- a/test/handoff.test.ts
+++ b/test/handoff.test.ts
@@ -26,14 +26,14 @@
 	const content = 'a long track about barley. '.repeat(400);
 	const answer = await streamCompletion(fixture.url, {model: 'summary-1', content});
 	assert.ok(answer.isComplete);
-	assert.equal(await importsOf(decode), 1);
-	assert.equal(await importsOf(prefill), 0);
+	assert.equal(await countImports(decode), 1);
+	assert.equal(await countImports(prefill), 0);
 });
 
 test('a short prompt is sent directly to the decode engine', async () => {
 	const answer = await streamCompletion(fixture.url, {model: 'chat-1', content: 'compare'});
 	assert.ok(answer.isComplete);
-	assert.equal(await importsOf(decode), 1);
+	assert.equal(await countImports(decode), 1);
 });
 
 test('a request is rejected at once if its first token is expected later than the caller demands', async () => {
@@ -69,7 +69,7 @@
 		kind: 'policy', profile: 'tallgrass', automaticRoles: true, changeWeight: 0,
 	});
 	let count = 0;
-	const load = setInterval(() => {
+	const requestTimer = setInterval(() => {
 		count++;
 		void streamCompletion(fixture.url, {model: 'summary-1', content: `${count} ${'a long track about oats. '.repeat(4000)}`}).catch(() => undefined);
 	}, 40);
@@ -77,7 +77,7 @@
 		const {resources} = await (await fetch(`${fixture.url}/api/v1/resources/change`)).json() as {resources: Array<{name: string; status: {phase: string}}>};
 		return resources.some(({name, status}) => name.startsWith('auto-') && status.phase === 'done');
 	}, 'an automatic role change', 30_000);
-	clearInterval(load);
+	clearInterval(requestTimer);
 	const {resources} = await (await fetch(`${fixture.url}/api/v1/resources/change`)).json() as {resources: Array<{name: string; specification: {role: string}}>};
 	const automatic = resources.find(({name}) => name.startsWith('auto-'))!;
 	assert.equal(automatic.specification.role, 'prefill');
@@ -85,7 +85,7 @@
 	assert.match(story.steps[0]!.text, /because prefill needs/v);
 });
 
-async function importsOf(engine: FakeEngine): Promise<number> {
+async function countImports(engine: FakeEngine): Promise<number> {
 	const {imported} = await (await fetch(`${engine.url}/runs`)).json() as {imported: number};
 	return imported;
 }
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -5,7 +5,7 @@
 import {startFixture} from './fixture.js';
 
 /** A dying process may close its connections a moment before its listening socket. */
-const LISTENS_ON_MS = 60;
+const LISTENER_CLOSE_DELAY_MS = 60;
 
 test('an engine that still accepts connections while it dies counts as crashed: the request is rejected after two crashes', async t => {
 	const fixture = await startFixture();
@@ -23,7 +23,7 @@
 				holder.engine!.closeConnections();
 				setTimeout(() => {
 					holder.engine!.stop();
-				}, LISTENS_ON_MS);
+				}, LISTENER_CLOSE_DELAY_MS);
 			},
 		}));
 	}
@@ -43,7 +43,7 @@
 		})));
 	}
 
-	const stopRunning = () => {
+	const stopRunningEngine = () => {
 		engines.find(engine => engine.runningCount > 0)?.stop();
 	};
 
@@ -53,7 +53,7 @@
 		onToken(count) {
 			// By the second crash, the request has been cleared: it ran alone for some tokens.
 			if (count === 5 || count === 20) {
-				stopRunning();
+				stopRunningEngine();
 			}
 		},
 	});
--- a/test/operator.test.ts
+++ b/test/operator.test.ts
@@ -25,11 +25,11 @@
 	const first = await put('team', 'x', {kind: 'team'}, {seen: 0});
 	const {version} = await first.json() as {version: number};
 	const answers = await Promise.all([1, 2, 3].map(async weight => put('team', 'x', {kind: 'team', weight}, {seen: version})));
-	const won = answers.filter(({status}) => status === 200);
-	const lost = answers.filter(({status}) => status === 409);
-	assert.deepEqual([won.length, lost.length], [1, 2]);
-	const winner = await won[0]!.json() as {version: number};
-	const {error} = await lost[0]!.json() as {error: {code: number; version: number; outcome: string}};
+	const winners = answers.filter(({status}) => status === 200);
+	const losers = answers.filter(({status}) => status === 409);
+	assert.deepEqual([winners.length, losers.length], [1, 2]);
+	const winner = await winners[0]!.json() as {version: number};
+	const {error} = await losers[0]!.json() as {error: {code: number; version: number; outcome: string}};
 	assert.deepEqual([error.code, error.version, error.outcome], [5001, winner.version, 'not-run']);
 });
 
@@ -71,10 +71,10 @@
 	const names = new Set(seen.flatMap(({resources}) => resources.map(({name}) => name)));
 	assert.ok(['w1', 'w2', 'w3', 'w4'].every(name => names.has(name)));
 	const resumed: Update[] = [];
-	const again = new AbortController();
-	const reader = readUpdates(await call('GET', `watch?from=${versions[2]!}`, again.signal), resumed, 1);
+	const resumedAbort = new AbortController();
+	const reader = readUpdates(await call('GET', `watch?from=${versions[2]!}`, resumedAbort.signal), resumed, 1);
 	await reader;
-	again.abort();
+	resumedAbort.abort();
 	assert.deepEqual(resumed[0]?.resources.map(({name}) => name).toSorted(), ['w3', 'w4']);
 	assert.deepEqual(resumed[0]?.removed, ['team/w0']);
 });
@@ -92,14 +92,14 @@
 }
 
 /** Collects updates until the watch ends or enough have arrived. */
-async function readUpdates(response: Response, into: Update[], enough = Number.POSITIVE_INFINITY): Promise<void> {
+async function readUpdates(response: Response, updates: Update[], enough = Number.POSITIVE_INFINITY): Promise<void> {
 	let rest = '';
 	try {
 		for await (const chunk of response.body ?? []) {
 			const lines = (rest + new TextDecoder().decode(chunk as Uint8Array)).split('\n');
 			rest = lines.pop() ?? '';
-			into.push(...lines.map(line => JSON.parse(line) as Update));
-			if (into.length >= enough) {
+			updates.push(...lines.map(line => JSON.parse(line) as Update));
+			if (updates.length >= enough) {
 				return;
 			}
 		}
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -26,59 +26,59 @@
  * A TCP proxy between the entry host and an engine. It can stop forwarding on its open connections without closing
  * them, like a middlebox that has lost its connection table, while new connections work.
  */
-class Middle {
+class FreezableProxy {
 	readonly port: number;
 	readonly #server: net.Server;
 	readonly #pairs = new Set<readonly [net.Socket, net.Socket]>();
 
 	private constructor(port: number, target: () => number) {
 		this.port = port;
-		this.#server = net.createServer(near => {
-			const far = net.connect({host: '127.0.0.1', port: target()});
-			this.#pairs.add([near, far]);
-			near.on('error', () => far.destroy());
-			far.on('error', () => near.destroy());
-			near.pipe(far);
-			far.pipe(near);
+		this.#server = net.createServer(downstream => {
+			const upstream = net.connect({host: '127.0.0.1', port: target()});
+			this.#pairs.add([downstream, upstream]);
+			downstream.on('error', () => upstream.destroy());
+			upstream.on('error', () => downstream.destroy());
+			downstream.pipe(upstream);
+			upstream.pipe(downstream);
 		});
 	}
 
-	static async start(target: () => number): Promise<Middle> {
-		const middle = new Middle(await findPort(), target);
+	static async start(target: () => number): Promise<FreezableProxy> {
+		const proxy = new FreezableProxy(await findPort(), target);
 		await new Promise<void>(resolve => {
-			middle.#server.listen(middle.port, '127.0.0.1', resolve);
+			proxy.#server.listen(proxy.port, '127.0.0.1', resolve);
 		});
-		return middle;
+		return proxy;
 	}
 
 	/** Stops forwarding on all open connections without closing them. */
-	loseTrack(): void {
-		for (const [near, far] of this.#pairs) {
-			near.unpipe(far);
-			far.unpipe(near);
-			near.pause();
-			far.pause();
+	freeze(): void {
+		for (const [downstream, upstream] of this.#pairs) {
+			downstream.unpipe(upstream);
+			upstream.unpipe(downstream);
+			downstream.pause();
+			upstream.pause();
 		}
 	}
 
 	stop(): void {
 		this.#server.close();
-		for (const [near, far] of this.#pairs) {
-			near.destroy();
-			far.destroy();
+		for (const [downstream, upstream] of this.#pairs) {
+			downstream.destroy();
+			upstream.destroy();
 		}
 	}
 }
 
 test('a connection that freezes in the middle of a stream is replaced by a new one to the same engine', async t => {
 	const holder: {engine?: FakeEngine} = {};
-	const middle = await Middle.start(() => holder.engine!.port);
+	const proxy = await FreezableProxy.start(() => holder.engine!.port);
 	t.after(() => {
-		middle.stop();
+		proxy.stop();
 	});
 	const engine = await fixture.add(entries => {
 		holder.engine = new FakeEngine({
-			name: 'behind', entries, announceIntervalMs: 50, stepMs: 5, models: ['chat-1'], announcedPort: middle.port,
+			name: 'behind', entries, announceIntervalMs: 50, stepMs: 5, models: ['chat-1'], announcedPort: proxy.port,
 		});
 		return holder.engine;
 	});
@@ -87,7 +87,7 @@
 		content: 'silent',
 		onToken(count) {
 			if (count === 20) {
-				middle.loseTrack();
+				proxy.freeze();
 			}
 		},
 	});
@@ -105,10 +105,10 @@
 	];
 	for (const [index, fault] of faults.entries()) {
 		const model = `odd-${index}`;
-		const odd = await startOddEngine(model, fault);
+		const faultyEngine = await startFaultyEngine(model, fault);
 		t.after(() => {
-			odd.close();
-			odd.closeAllConnections();
+			faultyEngine.close();
+			faultyEngine.closeAllConnections();
 		});
 		await fixture.add(entries => new FakeEngine({
 			name: `sound-${index}`, entries, announceIntervalMs: 50, stepMs: 1, models: [model],
@@ -121,7 +121,7 @@
 });
 
 /** Starts and announces an engine whose responses all have the same fault. */
-async function startOddEngine(model: string, fault: Fault): Promise<http.Server> {
+async function startFaultyEngine(model: string, fault: Fault): Promise<http.Server> {
 	const server = http.createServer((request, response) => {
 		if (request.method !== 'POST') {
 			sendJson(response, 404, {});
@@ -135,7 +135,7 @@
 		});
 		request.on('end', () => {
 			const {messages} = JSON.parse(body) as {messages: Array<{content: string}>};
-			answerWrongly(response, fault, String(request.headers['x-request-id']), `user: ${messages[0]!.content}`);
+			sendFaultyResponse(response, fault, String(request.headers['x-request-id']), `user: ${messages[0]!.content}`);
 		});
 	});
 	await new Promise<void>(resolve => {
@@ -150,7 +150,7 @@
 	return server;
 }
 
-function answerWrongly(response: http.ServerResponse, fault: Fault, id: string, prompt: string): void {
+function sendFaultyResponse(response: http.ServerResponse, fault: Fault, id: string, prompt: string): void {
 	response.writeHead(200, {'content-type': 'text/event-stream'});
 	for (let offset = 0; offset < 5; offset++) {
 		const event = fault(id, offset, prompt);
