--- a/src/entry/completion.ts
+++ b/src/entry/completion.ts
@@ -142,7 +142,7 @@
 	readonly #options: WriterOptions;
 	readonly #eventPrefix: string;
 	#hasStarted = false;
-	/** Events to be sent in one write, because a write costs as much as many events. */
+	/** Events that are sent in one write, because each write is expensive compared to an event. */
 	#batch = '';
 
 	constructor(options: WriterOptions) {
--- a/src/entry/model.ts
+++ b/src/entry/model.ts
@@ -70,7 +70,7 @@
 const FIRST_EVENT_TIMEOUT_FACTOR = 6;
 const MAX_ATTEMPTS = 12;
 const RETRY_PAUSE_MS = 50;
-const QUARANTINE_PAUSE_MS = 60;
+const QUARANTINE_RETRY_PAUSE_MS = 60;
 /** A suspected request is cleared once it has produced this many tokens more than it had at the crash. */
 const CLEARING_TOKENS = 4;
 const DEFAULT_OUTPUT_TOKENS = 200;
@@ -209,9 +209,10 @@
 	readonly #shape: RequestShape;
 	readonly #startedMs: number;
 	readonly #deadlineMs: number;
+	/** Engines that failed or refused this request. They are tried again only when no others are left. */
 	readonly #excluded = new Set<string>();
-	/** Engines whose connection broke although they stayed alive. */
-	readonly #brokenConnections = new Set<string>();
+	/** Engines that stayed alive although a connection to them broke. */
+	readonly #enginesWithBrokenConnection = new Set<string>();
 	readonly #team: string;
 	#deliveredText = '';
 	#tokenCount = 0;
@@ -229,7 +230,7 @@
 	/** Time to first token up to which the request counts as on time, milliseconds. */
 	readonly #firstTokenTargetMs: number;
 	#usesHandoff = false;
-	#isFirstToken = true;
+	#isFirstTokenOfAttempt = true;
 	/** Engine that holds the KV cache of the prefilled prompt, for the next attempt to import. */
 	#importSource: {readonly address: string; readonly port: number; readonly handle: string} | undefined;
 
@@ -345,7 +346,7 @@
 			return isLocked
 				? this.#runAttempt()
 				: {
-					type: 'retry', sameServer: false, reason: 'quarantine', pauseMs: QUARANTINE_PAUSE_MS,
+					type: 'retry', sameServer: false, reason: 'quarantine', pauseMs: QUARANTINE_RETRY_PAUSE_MS,
 				};
 		}
 
@@ -435,7 +436,7 @@
 	async #sendAttempt(server: Announcement, choice: EngineChoice): Promise<AttemptResult> {
 		const {engineClient, pool, clock} = this.#handler.options;
 		const id = `${this.#exchange.id}.${this.#attempts}`;
-		this.#isFirstToken = true;
+		this.#isFirstTokenOfAttempt = true;
 		const resume = this.#tokenCount > 0 ? {resume: {offset: this.#tokenCount, text: this.#deliveredText}} : {};
 		const handoff = this.#usesHandoff ? {handoff: true} : {};
 		const imported = this.#importSource ? {kv: this.#importSource} : {};
@@ -492,8 +493,8 @@
 	#onToken(text: string, server: string, attempt: string): void {
 		const {pool, clock, metrics} = this.#handler.options;
 		const nowMs = clock.monotonicMs();
-		if (this.#isFirstToken) {
-			this.#isFirstToken = false;
+		if (this.#isFirstTokenOfAttempt) {
+			this.#isFirstTokenOfAttempt = false;
 			pool.loads.recordFirstToken(server, attempt);
 		}
 
@@ -665,12 +666,12 @@
 
 	/** Excludes an engine at its second broken connection. The first one may be a network failure. */
 	#excludeAfterSecondBreak(server: Announcement): void {
-		if (this.#brokenConnections.has(server.server)) {
+		if (this.#enginesWithBrokenConnection.has(server.server)) {
 			this.#excluded.add(server.server);
 			this.#handler.options.pool.health.recordFailure(server.server, this.#now());
 		}
 
-		this.#brokenConnections.add(server.server);
+		this.#enginesWithBrokenConnection.add(server.server);
 	}
 
 	#onComplete(result: Extract<AttemptResult, {type: 'complete'}>, server: Announcement): void {
--- a/src/entry/operator.ts
+++ b/src/entry/operator.ts
@@ -1,6 +1,7 @@
 /**
  * The operators' HTTP API: reads, writes, deletes and watches resources, reports status, manages the control replicas,
- * and explains what happened to a request or a planned change. Writes name the version they are based on.
+ * and explains what happened to a request or a planned change. A write can name the version of the resource that the
+ * operator has seen; it is rejected if the resource has changed since.
  *
  * @module
  */
@@ -156,7 +157,7 @@
 			return;
 		}
 
-		const proposed = await this.#options.client.propose({
+		const reply = await this.#options.client.propose({
 			type: 'put',
 			at: this.#options.clock.wallMs(),
 			requestId: readHeader(exchange.request, 'idempotency-key') ?? randomUUID(),
@@ -164,7 +165,7 @@
 			seen,
 			specification: checked.right,
 		})();
-		sendOutcome(exchange, proposed);
+		sendOutcome(exchange, reply);
 	}
 
 	async #remove(exchange: Exchange, {kind, name}: {kind: string; name: string}): Promise<void> {
@@ -174,7 +175,7 @@
 			return;
 		}
 
-		const proposed = await this.#options.client.propose({
+		const reply = await this.#options.client.propose({
 			type: 'remove',
 			at: this.#options.clock.wallMs(),
 			requestId: readHeader(exchange.request, 'idempotency-key') ?? randomUUID(),
@@ -182,7 +183,7 @@
 			name,
 			seen,
 		})();
-		sendOutcome(exchange, proposed);
+		sendOutcome(exchange, reply);
 	}
 
 	/** Streams all changes since a version, one JSON object per line. A watch resumes from the version of the last line. */
@@ -285,7 +286,7 @@
 		sendJson(exchange, 200, explanation);
 	}
 
-	/** Asks the host that served a request for its timeline. A request ID starts with the name of that host. */
+	/** Asks the host that served a request for its timeline. The ID of a request starts with the name of that host. */
 	async #fetchExplanation(exchange: Exchange, subject: string): Promise<unknown> {
 		const fact = this.#options.directory.listHosts().find(host => subject.startsWith(`${host.peer.host}_`));
 		if (!fact?.http || fact.peer.host === this.#options.host) {
@@ -315,13 +316,13 @@
 	response.write(`${JSON.stringify(update)}\n`);
 }
 
-function sendOutcome(exchange: Exchange, proposed: Either.Either<Problem, ProposeReply>): void {
-	if (Either.isLeft(proposed)) {
-		sendProblem(exchange, proposed.left);
+function sendOutcome(exchange: Exchange, reply: Either.Either<Problem, ProposeReply>): void {
+	if (Either.isLeft(reply)) {
+		sendProblem(exchange, reply.left);
 		return;
 	}
 
-	const {outcome} = proposed.right;
+	const {outcome} = reply.right;
 	if (outcome.type === 'conflict') {
 		const problem = {...createProblem(findProblemName(outcome.code)), text: outcome.text};
 		sendJson(exchange, problem.status, {
@@ -332,7 +333,7 @@
 		return;
 	}
 
-	sendJson(exchange, 200, {version: outcome.type === 'accepted' ? outcome.version : proposed.right.index});
+	sendJson(exchange, 200, {version: outcome.type === 'accepted' ? outcome.version : reply.right.index});
 }
 
 function explainChange(change: Resource) {
--- a/src/entry/plain.ts
+++ b/src/entry/plain.ts
@@ -91,7 +91,7 @@
 	#resolve: (result: PlainResult) => void = () => undefined;
 	#controller: Dispatcher.DispatchController | undefined;
 	#isFinished = false;
-	#hasStarted = false;
+	#hasRequestStarted = false;
 	#status = 0;
 	#contentType = '';
 	#length = 0;
@@ -109,7 +109,7 @@
 
 	onRequestStart(controller: Dispatcher.DispatchController): void {
 		this.#controller = controller;
-		this.#hasStarted = true;
+		this.#hasRequestStarted = true;
 		if (this.#isFinished) {
 			controller.abort(new Error('finished'));
 		}
@@ -150,7 +150,7 @@
 	}
 
 	onResponseError(_controller: Dispatcher.DispatchController, error: Error & {code?: string}): void {
-		if (!this.#hasStarted || CONNECT_ERRORS.has(error.code ?? '')) {
+		if (!this.#hasRequestStarted || CONNECT_ERRORS.has(error.code ?? '')) {
 			this.#finish({type: 'not-run', text: 'No connection could be made.'});
 			return;
 		}
@@ -159,7 +159,7 @@
 	}
 
 	#fail(text: string): void {
-		const type = this.#hasStarted ? 'unknown' : 'not-run';
+		const type = this.#hasRequestStarted ? 'unknown' : 'not-run';
 		this.#finish({type, text});
 		this.#controller?.abort(new Error(text));
 	}
--- a/src/entry/quarantine.ts
+++ b/src/entry/quarantine.ts
@@ -30,7 +30,7 @@
 /** Acquires and releases quarantine locks. */
 export class Quarantine {
 	readonly #options: QuarantineOptions;
-	#next = 1;
+	#nextAttempt = 1;
 
 	constructor(options: QuarantineOptions) {
 		this.#options = options;
@@ -59,7 +59,7 @@
 	async #tryLockServer(server: string): Promise<QuarantineLock | undefined> {
 		const {client, clock, host, boot} = this.#options;
 		const key = QUARANTINE_PREFIX + server;
-		const attempt = `${boot}/q${this.#next++}`;
+		const attempt = `${boot}/q${this.#nextAttempt++}`;
 		const claim = await client.propose({
 			type: 'claim', at: clock.wallMs(), key, fingerprint: 'quarantine', attempt, host,
 		}, LOCK_DEADLINE_MS)();
--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -189,14 +189,14 @@
 
 	async #claim(claim: LedgerClaim, fingerprint: string): Promise<Either.Either<Problem, LedgerOutcome>> {
 		const {client, clock, host} = this.#options;
-		const proposed = await client.propose({
+		const reply = await client.propose({
 			type: 'claim', at: clock.wallMs(), key: claim.key, fingerprint, attempt: claim.attempt, host,
 		}, CLAIM_DEADLINE_MS)();
-		if (Either.isLeft(proposed)) {
+		if (Either.isLeft(reply)) {
 			return Either.left(createProblem('noQuorum', undefined, 1));
 		}
 
-		const {outcome} = proposed.right;
+		const {outcome} = reply.right;
 		return outcome.type === 'ledger' ? Either.right(outcome) : Either.left(createProblem('notStarted', undefined, 1));
 	}
 
--- a/test/handoff.test.ts
+++ b/test/handoff.test.ts
@@ -81,8 +81,8 @@
 	const {resources} = await (await fetch(`${fixture.url}/api/v1/resources/change`)).json() as {resources: Array<{name: string; specification: {role: string}}>};
 	const automatic = resources.find(({name}) => name.startsWith('auto-'))!;
 	assert.equal(automatic.specification.role, 'prefill');
-	const story = await (await fetch(`${fixture.url}/api/v1/explain/${automatic.name}`)).json() as {steps: Array<{text: string}>};
-	assert.match(story.steps[0]!.text, /because prefill needs/v);
+	const explanation = await (await fetch(`${fixture.url}/api/v1/explain/${automatic.name}`)).json() as {steps: Array<{text: string}>};
+	assert.match(explanation.steps[0]!.text, /because prefill needs/v);
 });
 
 async function countImports(engine: FakeEngine): Promise<number> {
