--- a/src/entry/completion.ts
+++ b/src/entry/completion.ts
@@ -1,5 +1,5 @@
 /**
- * Completions as OpenAI's API words them: checking requests, writing answers whole or as a stream.
+ * Completions in the format of OpenAI's API: parses requests, writes responses as one document or as a stream.
  *
  * @module
  */
@@ -12,18 +12,18 @@
 export const APIS = {chat: 'chat', text: 'text'} as const;
 export type Api = keyof typeof APIS;
 
-/** A checked request for a completion. */
+/** A valid request for a completion. */
 export type CompletionRequest = {
 	readonly api: Api;
 	readonly model: string;
 	readonly isStream: boolean;
 	readonly includesUsage: boolean;
 	readonly maxTokens: number | undefined;
-	/** The prompt as one text, for estimates and prefix hashes. */
+	/** The prompt as one string, for estimates and prefix hashes. */
 	readonly prompt: string;
-	/** The same request has the same fingerprint, through whichever host it comes. */
+	/** Hash of the request. It is the same on every entry host. */
 	readonly fingerprint: string;
-	/** What goes to the engine, without the fields that concern only the caller. */
+	/** The body for the engine, which always streams with usage, whatever the caller asked for. */
 	readonly body: Readonly<Record<string, unknown>>;
 };
 
@@ -34,36 +34,36 @@
 };
 
 /**
- * Checks a request's body.
+ * Parses and checks the body of a request.
  *
  * @example
  * ```ts
- * parseCompletion('chat', {model: 'chat-1', messages: [{role: 'user', content: 'Hello'}]});
+ * parseCompletionRequest('chat', {model: 'chat-1', messages: [{role: 'user', content: 'Hello'}]});
  * ```
  */
 export function parseCompletionRequest(api: Api, body: Readonly<Record<string, unknown>>): Either.Either<Problem, CompletionRequest> {
-	const refuse = (text: string) => Either.left(createProblem('badRequest', text));
+	const reject = (text: string) => Either.left(createProblem('badRequest', text));
 	const {model, stream, n} = body;
 	if (typeof model !== 'string' || model === '') {
-		return refuse('model must be a string.');
+		return reject('model must be a string.');
 	}
 
 	if (stream !== undefined && stream !== null && typeof stream !== 'boolean') {
-		return refuse('stream must be true or false.');
+		return reject('stream must be true or false.');
 	}
 
 	if (n !== undefined && n !== null && n !== 1) {
-		return refuse('n must be 1.');
+		return reject('n must be 1.');
 	}
 
 	const maxTokens = body.max_completion_tokens ?? body.max_tokens ?? undefined;
 	if (maxTokens !== undefined && (typeof maxTokens !== 'number' || !Number.isInteger(maxTokens) || maxTokens < 1)) {
-		return refuse('max_tokens must be a whole number of at least 1.');
+		return reject('max_tokens must be a whole number of at least 1.');
 	}
 
-	const prompt = api === APIS.chat ? readMessages(body.messages) : readPrompt(body.prompt);
+	const prompt = api === APIS.chat ? joinMessages(body.messages) : parsePrompt(body.prompt);
 	if (prompt === undefined) {
-		return refuse(api === APIS.chat ? 'messages must be a non-empty list of {role, content}.' : 'prompt must be a string or a list of one.');
+		return reject(api === APIS.chat ? 'messages must be a non-empty list of {role, content}.' : 'prompt must be a string or a list of one.');
 	}
 
 	const {stream: _stream, stream_options: options, ...rest} = body;
@@ -80,12 +80,13 @@
 	});
 }
 
-/** Writes an answer to the caller as it comes. */
+/** Writes the response to the caller while tokens arrive from the engine. */
 export interface ResponseWriter {
-	/** Takes one token. */
+	/** Buffers one token. */
 	writeToken(text: string): void;
-	/** Sends what was taken since the last call; false if the caller does not keep up. */
+	/** Sends the buffered tokens. Returns false if the caller reads too slowly. */
 	flush(): boolean;
+	/** Sends what is left of the response and ends it. */
 	complete(finishReason: string, usage: Usage): void;
 }
 
@@ -96,9 +97,10 @@
 	readonly response: ServerResponse;
 };
 
+/** A stream with more unsent data than this has a caller that reads too slowly. */
 const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
-/** Writes an answer as one JSON document. */
+/** Writes the response as one JSON document. */
 export class JsonWriter implements ResponseWriter {
 	readonly #options: WriterOptions;
 	#text = '';
@@ -135,20 +137,20 @@
 	}
 }
 
-/** Writes an answer as server-sent events. */
+/** Writes the response as server-sent events. */
 export class EventStreamWriter implements ResponseWriter {
 	readonly #options: WriterOptions;
-	readonly #head: string;
+	readonly #eventPrefix: string;
 	#hasStarted = false;
-	/** Events that go out together: one write costs as much as many events. */
+	/** Events that are sent in one write, because each write is expensive compared to an event. */
 	#batch = '';
 
 	constructor(options: WriterOptions) {
 		this.#options = options;
 		const {id, request, createdSeconds} = options;
 		const object = request.api === APIS.chat ? 'chat.completion.chunk' : 'text_completion';
-		// The part that all events share is written once: only the token differs.
-		this.#head = `data: ${JSON.stringify({
+		// All events share this part, so it is serialized only once.
+		this.#eventPrefix = `data: ${JSON.stringify({
 			id, object, created: createdSeconds, model: request.model,
 		}).slice(0, -1)},"choices":[`;
 	}
@@ -159,13 +161,13 @@
 		const choice = request.api === APIS.chat
 			? `{"index":0,"delta":{"content":${content}},"logprobs":null,"finish_reason":null}`
 			: `{"index":0,"text":${content},"logprobs":null,"finish_reason":null}`;
-		this.#batch += `${this.#head}${choice}]}\n\n`;
+		this.#batch += `${this.#eventPrefix}${choice}]}\n\n`;
 	}
 
 	flush(): boolean {
 		const {response} = this.#options;
 		if (this.#batch !== '' && !response.destroyed) {
-			this.#start();
+			this.#writeHead();
 			response.write(this.#batch);
 			this.#batch = '';
 		}
@@ -179,14 +181,14 @@
 		const choice = request.api === APIS.chat
 			? `{"index":0,"delta":{},"logprobs":null,"finish_reason":${reason}}`
 			: `{"index":0,"text":"","logprobs":null,"finish_reason":${reason}}`;
-		this.#start();
-		const last = this.#batch;
+		this.#writeHead();
+		const remaining = this.#batch;
 		this.#batch = '';
-		const usageEvent = request.includesUsage ? `${this.#head}],"usage":${JSON.stringify(usage)}}\n\n` : '';
-		response.end(`${last}${this.#head}${choice}]}\n\n${usageEvent}data: [DONE]\n\n`);
+		const usageEvent = request.includesUsage ? `${this.#eventPrefix}],"usage":${JSON.stringify(usage)}}\n\n` : '';
+		response.end(`${remaining}${this.#eventPrefix}${choice}]}\n\n${usageEvent}data: [DONE]\n\n`);
 	}
 
-	#start(): void {
+	#writeHead(): void {
 		if (this.#hasStarted) {
 			return;
 		}
@@ -197,12 +199,12 @@
 			'content-type': 'text/event-stream; charset=utf-8', 'cache-control': 'no-cache', 'x-request-id': id,
 		});
 		if (request.api === APIS.chat) {
-			response.write(`${this.#head}{"index":0,"delta":{"role":"assistant","content":""},"logprobs":null,"finish_reason":null}]}\n\n`);
+			response.write(`${this.#eventPrefix}{"index":0,"delta":{"role":"assistant","content":""},"logprobs":null,"finish_reason":null}]}\n\n`);
 		}
 	}
 }
 
-function readMessages(messages: unknown): string | undefined {
+function joinMessages(messages: unknown): string | undefined {
 	if (!Array.isArray(messages) || messages.length === 0) {
 		return undefined;
 	}
@@ -210,8 +212,8 @@
 	const parts: string[] = [];
 	for (const message of messages as unknown[]) {
 		const {role, content} = (message ?? {}) as {role?: unknown; content?: unknown};
-		const isContent = typeof content === 'string' || Array.isArray(content) || content === null;
-		if (typeof role !== 'string' || !isContent) {
+		const isValidContent = typeof content === 'string' || Array.isArray(content) || content === null;
+		if (typeof role !== 'string' || !isValidContent) {
 			return undefined;
 		}
 
@@ -221,7 +223,7 @@
 	return parts.join('\n');
 }
 
-function readPrompt(prompt: unknown): string | undefined {
+function parsePrompt(prompt: unknown): string | undefined {
 	if (typeof prompt === 'string') {
 		return prompt;
 	}
--- a/src/entry/quarantine.ts
+++ b/src/entry/quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * Runs suspected requests alone: one suspect at one server at a time, across all entry hosts.
+ * Locks that let at most one request suspected of crashing engines run at an engine, across all entry hosts.
  *
- * The lock is a claim in the ledger, so that a host that dies does not hold it for ever.
+ * A lock is a claim in the ledger, so that it does not outlive a host that crashes while holding it.
  *
  * @module
  */
@@ -17,37 +17,37 @@
 	readonly boot: string;
 };
 
-/** A server that is held for one suspect. */
+/** A lock on an engine for one suspected request. */
 export type QuarantineLock = {
 	readonly server: string;
-	/** Lets the server go; calling it again does nothing. */
+	/** Releases the lock. Further calls have no effect. */
 	release(): void;
 };
 
 const LOCK_DEADLINE_MS = 1500;
 const RELEASE_DEADLINE_MS = 10_000;
 
-/** Takes and releases quarantine locks. */
+/** Acquires and releases quarantine locks. */
 export class Quarantine {
 	readonly #options: QuarantineOptions;
-	#next = 1;
+	#nextAttempt = 1;
 
 	constructor(options: QuarantineOptions) {
 		this.#options = options;
 	}
 
 	/**
-	 * Tries to hold one of the servers, in the order given.
+	 * Tries to lock one of the servers, in the given order.
 	 *
 	 * @example
 	 * ```ts
-	 * const hold = await quarantine.tryHold(['e3', 'e1']);
-	 * hold?.release();
+	 * const lock = await quarantine.tryLock(['e3', 'e1']);
+	 * lock?.release();
 	 * ```
 	 */
 	async tryLock(servers: readonly string[]): Promise<QuarantineLock | undefined> {
 		for (const server of servers) {
-			const lock = await this.#tryServer(server);
+			const lock = await this.#tryLockServer(server);
 			if (lock) {
 				return lock;
 			}
@@ -56,10 +56,10 @@
 		return undefined;
 	}
 
-	async #tryServer(server: string): Promise<QuarantineLock | undefined> {
+	async #tryLockServer(server: string): Promise<QuarantineLock | undefined> {
 		const {client, clock, host, boot} = this.#options;
 		const key = QUARANTINE_PREFIX + server;
-		const attempt = `${boot}/q${this.#next++}`;
+		const attempt = `${boot}/q${this.#nextAttempt++}`;
 		const claim = await client.propose({
 			type: 'claim', at: clock.wallMs(), key, fingerprint: 'quarantine', attempt, host,
 		}, LOCK_DEADLINE_MS)();
@@ -74,7 +74,7 @@
 			return {server, release: once(release)};
 		}
 
-		// Another copy of the claim may still be granted later.
+		// A copy of the claim that was sent again may still be granted later.
 		release();
 		return undefined;
 	}
--- a/src/membership/discovery.ts
+++ b/src/membership/discovery.ts
@@ -1,56 +1,56 @@
 /**
- * The backend servers as an entry host sees them: what all control hosts it hears say, taken together.
+ * Server discovery of an entry host: merges the feeds of all control hosts.
  *
  * @module
  */
 import type {Announcement, Feed} from '../generated/types.js';
 import {ServerRegistry} from './registry.js';
 
-/** An entry host hears changes only, so silence towards itself means nothing. */
-const TIMING = {silentAfterMs: Number.POSITIVE_INFINITY, forgetAfterMs: Number.POSITIVE_INFINITY};
+/** Servers never expire here: feeds carry only changes, and the control hosts report which servers are silent. */
+const NO_EXPIRY = {silentAfterMs: Number.POSITIVE_INFINITY, forgetAfterMs: Number.POSITIVE_INFINITY};
 
-/** Which control hosts may be asked about silent servers now. */
+/** State of the connections to the control hosts. */
 export type ControlHostStatus = {
 	listLive(): string[];
 	isWarm(control: string): boolean;
 };
 
-/** The merged view of all feeds. */
+/** The backend servers, merged from all feeds. */
 export class ServerDiscovery {
-	readonly #registry = new ServerRegistry(TIMING);
-	/** For each control host, the servers it lists, and whether it hears them. */
-	readonly #claims = new Map<string, Map<string, boolean>>();
-	readonly #live: ControlHostStatus;
+	readonly #registry = new ServerRegistry(NO_EXPIRY);
+	/** For each control host, the servers it lists and whether they are up, that is, neither silent nor gone. */
+	readonly #reports = new Map<string, Map<string, boolean>>();
+	readonly #controlHosts: ControlHostStatus;
 
-	constructor(live: ControlHostStatus) {
-		this.#live = live;
+	constructor(controlHosts: ControlHostStatus) {
+		this.#controlHosts = controlHosts;
 	}
 
-	/** Takes a feed; true if it told something new. */
+	/** Merges a feed. Returns whether it contained server statuses or replaced all earlier ones. */
 	merge(feed: Feed, control: string, nowMs: number): boolean {
-		let claims = this.#claims.get(control);
-		if (!claims || feed.whole) {
-			claims = new Map();
-			this.#claims.set(control, claims);
+		let reports = this.#reports.get(control);
+		if (!reports || feed.whole) {
+			reports = new Map();
+			this.#reports.set(control, reports);
 		}
 
-		for (const sighting of feed.sightings) {
-			claims.set(sighting.announcement.server, !sighting.silent && !sighting.gone);
-			this.#registry.mergeStatus(sighting, nowMs);
+		for (const status of feed.sightings) {
+			reports.set(status.announcement.server, !status.silent && !status.gone);
+			this.#registry.mergeStatus(status, nowMs);
 		}
 
 		return feed.whole || feed.sightings.length > 0;
 	}
 
-	/** Servers that take new work. */
+	/** Lists the servers that accept new work and are up according to at least one live, warm control host. */
 	listUsable(): Announcement[] {
-		const claims = this.#live.listLive()
-			.filter(control => this.#live.isWarm(control))
-			.map(control => this.#claims.get(control))
-			.filter(claim => claim !== undefined);
+		const reports = this.#controlHosts.listLive()
+			.filter(control => this.#controlHosts.isWarm(control))
+			.map(control => this.#reports.get(control))
+			.filter(report => report !== undefined);
 		const usable = this.#registry.listUsable();
-		// Without a control host that knows, the last view goes on.
-		return claims.length === 0 ? usable : usable.filter(({server}) => claims.some(claim => claim.get(server) === true));
+		// While no control host is both live and warm, the last known servers stay in use.
+		return reports.length === 0 ? usable : usable.filter(({server}) => reports.some(report => report.get(server) === true));
 	}
 
 	findServer(server: string): Announcement | undefined {
