--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -1,10 +1,10 @@
 /**
- * The files of a replica: its identity, a snapshot and a checksummed write-ahead log.
+ * Persistent storage of a replica: its identity, a snapshot and a checksummed write-ahead log.
  *
- * A generation is a pair `snapshot-N`, `log-N`; it exists once `log-N` has its final name. The log is a
- * sequence of frames (magic, length, CRC-32, CBOR list of records), one frame for each batch, and the next
- * batch is written only after the one before is synced. So a damaged frame with a whole one behind it is
- * corruption, and a damaged frame at the end is a torn write of a batch that nobody was promised.
+ * A generation is a pair of files, `snapshot-N` and `log-N`. It is valid once `log-N` has been renamed to its final
+ * name. The log is a sequence of frames (magic number, length, CRC-32, CBOR-encoded list of records), one per batch.
+ * A batch is written only after the previous one is synced. A damaged frame that is followed by a complete one
+ * therefore means corruption, while a damaged frame at the end is a torn write of a batch that was never acknowledged.
  *
  * @module
  */
@@ -22,6 +22,7 @@
 import {decodeCbor, encodeCbor} from '../wire/frame.js';
 import type {HardState, LogRecord} from './replica.js';
 
+/** State that a replica recovers from its files after a restart. */
 export type PersistentState = {
 	readonly hard: HardState;
 	readonly snapshot: Snapshot;
@@ -29,19 +30,19 @@
 };
 
 export type StorageOptions = {
-	/** Whether records that wait together share one sync. */
+	/** Whether waiting batches share one sync (the default). */
 	readonly batchWrites?: boolean;
 	readonly onSynced: (sequence: number) => void;
-	/** Called when a write failed; it is tried again until it succeeds, and nothing counts as synced meanwhile. */
+	/** Called when a write fails. The write is retried until it succeeds; no later write is synced before that. */
 	readonly onWriteFailure: (problem: Problem) => void;
 };
 
 type OpenedGeneration = {
 	readonly generation: number;
 	readonly file: FileHandle;
-	/** Bytes of the log that are whole. */
+	/** Length of the log file up to the end of the last complete frame. */
 	readonly length: number;
-	readonly image: PersistentState;
+	readonly state: PersistentState;
 };
 
 type Batch = {
@@ -49,10 +50,10 @@
 	readonly records: readonly LogRecord[];
 };
 
-/** Pause before a failed write is tried again; a full or faulty disk lasts for seconds. */
+/** Delay before a failed write is retried; a full or faulty disk usually stays so for seconds. */
 const WRITE_RETRY_MS = 100;
-const MAGIC = 0xCA_5A_AD_01;
-const FRAME_HEAD_BYTES = 12;
+const FRAME_MAGIC = 0xCA_5A_AD_01;
+const FRAME_HEADER_BYTES = 12;
 const IDENTITY_FILE = 'identity.json';
 const EMPTY_CONFIGURATION: Configuration = {voters: [], outgoing: [], learners: []};
 export const EMPTY_SNAPSHOT: Snapshot = {
@@ -61,11 +62,11 @@
 export const EMPTY_PERSISTENT_STATE: PersistentState = {hard: {term: 0, vote: ''}, snapshot: EMPTY_SNAPSHOT, entries: []};
 
 /**
- * Reads the replica's identity from its data folder, or makes one in an empty folder.
+ * Reads the replica's identity from its data folder, or creates one if the folder has none.
  *
  * @example
  * ```ts
- * const identity = await readIdentity('/var/lib/carawayhoist'); // Either.right('6f1c…')
+ * const identity = await loadOrCreateIdentity('/var/lib/carawayhoist'); // Either.right('6f1c…')
  * ```
  */
 export async function loadOrCreateIdentity(folder: string): Promise<Either.Either<Problem, string>> {
@@ -78,25 +79,25 @@
 		}
 
 		const replica = randomUUID();
-		await writeWhole(folder, IDENTITY_FILE, new TextEncoder().encode(JSON.stringify({replica})));
+		await writeFileAtomically(folder, IDENTITY_FILE, new TextEncoder().encode(JSON.stringify({replica})));
 		return Either.right(replica);
 	} catch (error) {
 		return Either.left(createProblem('storageFailed', String(error)));
 	}
 }
 
-/** The open files of a replica. Whoever opened it closes it. */
+/** The open files of a replica. The caller must close it. */
 export class Storage {
 	readonly #folder: string;
 	readonly #options: StorageOptions;
 	#generation: number;
 	#file: FileHandle;
-	#length: number;
-	#image: PersistentState;
+	#validLength: number;
+	#state: PersistentState;
 	readonly #queue: Batch[] = [];
 	#writing: Promise<void> | undefined;
-	/** Whether a failed write may have left a part of a frame behind the whole ones. */
-	#isTorn = false;
+	/** Whether a failed write may have left a partial frame after the last complete one. */
+	#hasPartialFrame = false;
 	#isClosing = false;
 
 	private constructor(folder: string, options: StorageOptions, opened: OpenedGeneration) {
@@ -104,22 +105,22 @@
 		this.#options = options;
 		this.#generation = opened.generation;
 		this.#file = opened.file;
-		this.#length = opened.length;
-		this.#image = opened.image;
+		this.#validLength = opened.length;
+		this.#state = opened.state;
 	}
 
 	/**
-	 * Opens a data folder; a torn tail is cut, corruption before the end is refused.
+	 * Opens a data folder. Truncates a torn write at the end of the log; fails if the log is corrupt before its end.
 	 *
 	 * @example
 	 * ```ts
-	 * const storage = await Storage.open(folder, {onSynced: sequence => {}, onFailed: problem => {}});
+	 * const storage = await Storage.open(folder, {onSynced: sequence => {}, onWriteFailure: problem => {}});
 	 * ```
 	 */
 	static async open(folder: string, options: StorageOptions): Promise<Either.Either<Problem, Storage>> {
 		try {
 			await mkdir(folder, {recursive: true});
-			const generation = await findGeneration(folder);
+			const generation = await findLatestGeneration(folder);
 			if (generation === 0) {
 				await writeGeneration(folder, 1, EMPTY_PERSISTENT_STATE);
 			}
@@ -147,43 +148,43 @@
 			return Either.left(createProblem('storageCorrupt', `snapshot-${generation}`));
 		}
 
-		let image: PersistentState = {...EMPTY_PERSISTENT_STATE, snapshot: decodeCbor(payload) as Snapshot};
+		let state: PersistentState = {...EMPTY_PERSISTENT_STATE, snapshot: decodeCbor(payload) as Snapshot};
 		for (const frame of log.right.payloads) {
-			image = applyRecords(image, decodeCbor(frame) as LogRecord[]);
+			state = applyRecords(state, decodeCbor(frame) as LogRecord[]);
 		}
 
 		const file = await open(logFile, 'a');
 		await file.truncate(log.right.length);
-		// What an earlier process wrote may still be only in the page cache.
+		// Data written by a previous process may still be in the page cache only.
 		await file.sync();
-		await removeOthers(folder, generation);
+		await removeOtherGenerations(folder, generation);
 		return Either.right(new Storage(folder, options, {
-			generation, file, length: log.right.length, image,
+			generation, file, length: log.right.length, state,
 		}));
 	}
 
-	/** What the files hold. */
+	/** The state that is written to the files. */
 	get persistentState(): PersistentState {
-		return this.#image;
+		return this.#state;
 	}
 
-	/** Writes records; `onSynced` is called once they are on disk. */
+	/** Queues records for writing; `onSynced` is called once they are synced to disk. */
 	write(sequence: number, records: readonly LogRecord[]): void {
 		this.#queue.push({sequence, records});
-		this.#writing ??= this.#drain();
+		this.#writing ??= this.#drainQueue();
 	}
 
-	/** Waits for what was written and closes the files. */
+	/** Waits for pending writes and closes the files. */
 	async close(): Promise<void> {
 		this.#isClosing = true;
 		await this.#writing;
 		await this.#file.close();
 	}
 
-	async #drain(): Promise<void> {
+	async #drainQueue(): Promise<void> {
 		while (this.#queue.length > 0) {
-			const batches = this.#takeBatches();
-			if (!await this.#writeUntilDone(batches)) {
+			const batches = this.#dequeueBatches();
+			if (!await this.#writeWithRetry(batches)) {
 				break;
 			}
 
@@ -193,8 +194,8 @@
 		this.#writing = undefined;
 	}
 
-	/** Writes batches, again after a failure; false if the storage was closed before they were written. */
-	async #writeUntilDone(batches: readonly Batch[]): Promise<boolean> {
+	/** Writes batches, retrying after failures. Returns false if the storage was closed before a try succeeded. */
+	async #writeWithRetry(batches: readonly Batch[]): Promise<boolean> {
 		for (;;) {
 			try {
 				await this.#writeBatches(batches);
@@ -210,8 +211,11 @@
 		}
 	}
 
-	/** Takes what can share one sync: everything up to a snapshot, which starts a new generation. */
-	#takeBatches(): Batch[] {
+	/**
+	 * Removes the batches that share the next sync from the queue. A batch with a snapshot is written alone, because it
+	 * starts a new generation.
+	 */
+	#dequeueBatches(): Batch[] {
 		const limit = this.#options.batchWrites === false ? 1 : this.#queue.length;
 		const snapshotAt = this.#queue.findIndex(batch => hasSnapshot(batch));
 		const count = snapshotAt === -1 ? limit : Math.min(limit, Math.max(1, snapshotAt));
@@ -220,50 +224,50 @@
 
 	async #writeBatches(batches: readonly Batch[]): Promise<void> {
 		const records = batches.flatMap(batch => batch.records);
-		const image = applyRecords(this.#image, records);
+		const state = applyRecords(this.#state, records);
 		if (batches.some(batch => hasSnapshot(batch))) {
-			await this.#startGeneration(image);
+			await this.#startGeneration(state);
 			return;
 		}
 
 		const frame = createFrame(encodeCbor(records));
-		if (this.#isTorn) {
-			await this.#file.truncate(this.#length);
+		if (this.#hasPartialFrame) {
+			await this.#file.truncate(this.#validLength);
 		}
 
-		this.#isTorn = true;
+		this.#hasPartialFrame = true;
 		await this.#file.appendFile(frame);
 		await this.#file.datasync();
-		this.#isTorn = false;
-		this.#length += frame.length;
-		this.#image = image;
+		this.#hasPartialFrame = false;
+		this.#validLength += frame.length;
+		this.#state = state;
 	}
 
-	async #startGeneration(image: PersistentState): Promise<void> {
+	async #startGeneration(state: PersistentState): Promise<void> {
 		const generation = this.#generation + 1;
-		const length = await writeGeneration(this.#folder, generation, image);
+		const length = await writeGeneration(this.#folder, generation, state);
 		const file = await open(path.join(this.#folder, `log-${generation}`), 'a');
-		const former = this.#file;
+		const previousFile = this.#file;
 		this.#file = file;
-		this.#length = length;
+		this.#validLength = length;
 		this.#generation = generation;
-		this.#image = image;
-		await former.close();
-		await removeOthers(this.#folder, generation);
+		this.#state = state;
+		await previousFile.close();
+		await removeOtherGenerations(this.#folder, generation);
 	}
 }
 
 /**
- * Applies records to what the files hold; also the model of a disk in the fuzzer.
+ * Applies log records to a persistent state. The fuzzer uses it as its model of a disk.
  *
  * @example
  * ```ts
- * applyRecords(EMPTY_IMAGE, [{type: 'hard', state: {term: 3, vote: 'a'}}]).hard.term; // 3
+ * applyRecords(EMPTY_PERSISTENT_STATE, [{type: 'hard', state: {term: 3, vote: 'a'}}]).hard.term; // 3
  * ```
  */
-export function applyRecords(image: PersistentState, records: readonly LogRecord[]): PersistentState {
-	let {hard, snapshot} = image;
-	let entries = image.entries as Entry[];
+export function applyRecords(state: PersistentState, records: readonly LogRecord[]): PersistentState {
+	let {hard, snapshot} = state;
+	let entries = state.entries as Entry[];
 	for (const record of records) {
 		switch (record.type) {
 			case 'hard': {
@@ -277,7 +281,7 @@
 			}
 
 			case 'entries': {
-				entries = entries === image.entries ? [...entries] : entries;
+				entries = entries === state.entries ? [...entries] : entries;
 				for (const entry of record.entries) {
 					entries.push(entry);
 				}
@@ -286,7 +290,7 @@
 			}
 
 			case 'snapshot': {
-				entries = keepAfterSnapshot(entries, record.snapshot);
+				entries = getEntriesAfterSnapshot(entries, record.snapshot);
 				snapshot = record.snapshot;
 				break;
 			}
@@ -296,9 +300,9 @@
 	return {hard, snapshot, entries};
 }
 
-function keepAfterSnapshot(entries: readonly Entry[], snapshot: Snapshot): Entry[] {
-	const same = entries.some(entry => entry.index === snapshot.index && entry.term === snapshot.term);
-	return same ? entries.filter(entry => entry.index > snapshot.index) : [];
+function getEntriesAfterSnapshot(entries: readonly Entry[], snapshot: Snapshot): Entry[] {
+	const containsSnapshotEnd = entries.some(entry => entry.index === snapshot.index && entry.term === snapshot.term);
+	return containsSnapshotEnd ? entries.filter(entry => entry.index > snapshot.index) : [];
 }
 
 function hasSnapshot(batch: Batch): boolean {
@@ -306,15 +310,15 @@
 }
 
 function createFrame(payload: Uint8Array): Uint8Array {
-	const frame = Buffer.allocUnsafe(FRAME_HEAD_BYTES + payload.length);
-	frame.writeUInt32BE(MAGIC, 0);
+	const frame = Buffer.allocUnsafe(FRAME_HEADER_BYTES + payload.length);
+	frame.writeUInt32BE(FRAME_MAGIC, 0);
 	frame.writeUInt32BE(payload.length, 4);
 	frame.writeUInt32BE(crc32(payload, payload.length), 8);
-	frame.set(payload, FRAME_HEAD_BYTES);
+	frame.set(payload, FRAME_HEADER_BYTES);
 	return frame;
 }
 
-/** Reads frames up to the first damaged one; a whole frame behind a damaged one means corruption. */
+/** Decodes frames up to the first damaged one. Fails if a complete frame follows a damaged one, which means corruption. */
 export function readFrames(bytes: Uint8Array): Either.Either<Problem, {readonly payloads: Uint8Array[]; readonly length: number}> {
 	const payloads: Uint8Array[] = [];
 	let offset = 0;
@@ -325,12 +329,12 @@
 		}
 
 		payloads.push(payload);
-		offset += FRAME_HEAD_BYTES + payload.length;
+		offset += FRAME_HEADER_BYTES + payload.length;
 	}
 
-	for (let at = offset + 1; at + FRAME_HEAD_BYTES <= bytes.length; at++) {
-		if (readFrame(bytes, at)) {
-			return Either.left(createProblem('storageCorrupt', `Damage at byte ${offset}, a whole record at byte ${at}.`));
+	for (let position = offset + 1; position + FRAME_HEADER_BYTES <= bytes.length; position++) {
+		if (readFrame(bytes, position)) {
+			return Either.left(createProblem('storageCorrupt', `Invalid frame at byte ${offset}, but a valid one at byte ${position}.`));
 		}
 	}
 
@@ -338,14 +342,14 @@
 }
 
 function readFrame(bytes: Uint8Array, offset: number): Uint8Array | undefined {
-	if (offset + FRAME_HEAD_BYTES > bytes.length) {
+	if (offset + FRAME_HEADER_BYTES > bytes.length) {
 		return undefined;
 	}
 
-	const view = new DataView(bytes.buffer, bytes.byteOffset + offset, FRAME_HEAD_BYTES);
+	const view = new DataView(bytes.buffer, bytes.byteOffset + offset, FRAME_HEADER_BYTES);
 	const length = view.getUint32(4);
-	const start = offset + FRAME_HEAD_BYTES;
-	if (view.getUint32(0) !== MAGIC || start + length > bytes.length) {
+	const start = offset + FRAME_HEADER_BYTES;
+	if (view.getUint32(0) !== FRAME_MAGIC || start + length > bytes.length) {
 		return undefined;
 	}
 
@@ -353,24 +357,24 @@
 	return crc32(payload, length) === view.getUint32(8) ? payload : undefined;
 }
 
-async function findGeneration(folder: string): Promise<number> {
+async function findLatestGeneration(folder: string): Promise<number> {
 	const names = await readdir(folder);
 	const generations = names.map(name => /^log-(\d+)$/v.exec(name)?.[1]).filter(match => match !== undefined);
 	return Math.max(0, ...generations.map(Number));
 }
 
-async function writeGeneration(folder: string, generation: number, image: PersistentState): Promise<number> {
+async function writeGeneration(folder: string, generation: number, state: PersistentState): Promise<number> {
 	const records: LogRecord[] = [
-		{type: 'hard', state: image.hard},
-		{type: 'entries', entries: image.entries},
+		{type: 'hard', state: state.hard},
+		{type: 'entries', entries: state.entries},
 	];
-	await writeWhole(folder, `snapshot-${generation}`, createFrame(encodeCbor(image.snapshot)));
+	await writeFileAtomically(folder, `snapshot-${generation}`, createFrame(encodeCbor(state.snapshot)));
 	const log = createFrame(encodeCbor(records));
-	await writeWhole(folder, `log-${generation}`, log);
+	await writeFileAtomically(folder, `log-${generation}`, log);
 	return log.length;
 }
 
-async function removeOthers(folder: string, generation: number): Promise<void> {
+async function removeOtherGenerations(folder: string, generation: number): Promise<void> {
 	for (const name of await readdir(folder)) {
 		const match = /^(?:log|snapshot)-(\d+)/v.exec(name);
 		if (match && (Number(match[1]) !== generation || name.endsWith('.new'))) {
@@ -379,8 +383,8 @@
 	}
 }
 
-/** Writes a file so that it exists whole or not at all. */
-async function writeWhole(folder: string, name: string, bytes: Uint8Array): Promise<void> {
+/** Writes a file atomically: it exists under its final name only once it is complete and synced. */
+async function writeFileAtomically(folder: string, name: string, bytes: Uint8Array): Promise<void> {
 	const temporary = path.join(folder, `${name}.new`);
 	const file = await open(temporary, 'w');
 	await file.writeFile(bytes);
--- a/src/control/ledger.ts
+++ b/src/control/ledger.ts
@@ -1,5 +1,5 @@
 /**
- * The ledger of work that may not be repeated: which attempt may run a key, and how it ended.
+ * Ledger of non-repeatable requests: which attempt may execute an idempotency key, and its result.
  *
  * @module
  */
@@ -12,6 +12,7 @@
 } as const;
 export type LedgerState = keyof typeof LEDGER_STATES;
 
+/** State of one idempotency key. */
 export type LedgerRecord = {
 	readonly key: string;
 	readonly fingerprint: string;
@@ -25,32 +26,36 @@
 
 export type LedgerSnapshot = {
 	readonly records: readonly LedgerRecord[];
+	/** Attempts that were given up, with the time; a claim of theirs that arrives late is not granted. */
 	readonly abandoned: ReadonlyArray<readonly [string, number]>;
 };
 
 const EMPTY_LEDGER: LedgerSnapshot = {records: [], abandoned: []};
-/** How long an outcome is kept and a key is not run again, milliseconds. */
+/** How long an outcome is stored, and its key therefore not executed again, in milliseconds. */
 export const LEDGER_RETENTION_MS = 24 * 60 * 60 * 1000;
-/** Most records held; a claim beyond it is refused rather than an outcome forgotten. */
+/** Maximum number of records. Beyond it a new claim is refused rather than a stored outcome removed. */
 export const MAX_LEDGER_RECORDS = 500_000;
 
-/** Keys under which a host holds a backend server for one suspected request; they lock, they record no work. */
+/**
+ * Prefix of keys that are locks instead of records of work: an entry host reserves a backend server with such a key to
+ * run a suspected poison request alone.
+ */
 export const QUARANTINE_PREFIX = 'quarantine/';
 
-/** The ledger; changed only by commands of the log. */
+/** Stores claims and outcomes of idempotency keys. Modified only by commands of the replicated log. */
 export class Ledger {
 	readonly #claimBeforeSend: boolean;
 	readonly #records = new Map<string, LedgerRecord>();
-	readonly #abandoned = new Map<string, number>();
+	readonly #abandonedAttempts = new Map<string, number>();
 
-	constructor(image: LedgerSnapshot = EMPTY_LEDGER, claimBeforeSend = true) {
+	constructor(snapshot: LedgerSnapshot = EMPTY_LEDGER, claimBeforeSend = true) {
 		this.#claimBeforeSend = claimBeforeSend;
-		for (const record of image.records) {
+		for (const record of snapshot.records) {
 			this.#records.set(record.key, record);
 		}
 
-		for (const [attempt, atMs] of image.abandoned) {
-			this.#abandoned.set(attempt, atMs);
+		for (const [attempt, atMs] of snapshot.abandoned) {
+			this.#abandonedAttempts.set(attempt, atMs);
 		}
 	}
 
@@ -62,63 +67,63 @@
 		return this.#records.get(key);
 	}
 
-	/** Claims that nobody has settled. */
+	/** Returns the records of claims that are not settled. */
 	listOpenClaims(): LedgerRecord[] {
 		return [...this.#records.values()].filter(record => record.state === LEDGER_STATES.claimed);
 	}
 
-	/** Grants the key to an attempt, or tells what became of it. */
+	/** Grants a key to an attempt, or returns the state of the attempt that already has it. */
 	claim(command: ClaimCommand): LedgerOutcome {
-		const known = this.#records.get(command.key);
-		if (this.#abandoned.has(command.attempt)) {
-			return createAnswer('not-run', command.attempt, command.host);
+		const existing = this.#records.get(command.key);
+		if (this.#abandonedAttempts.has(command.attempt)) {
+			return createOutcome('not-run', command.attempt, command.host);
 		}
 
-		if (!known || this.#mayRunAgain(known, command)) {
+		if (!existing || this.#canRunAgain(existing, command)) {
 			return this.#grant(command);
 		}
 
-		if (known.fingerprint !== command.fingerprint) {
-			return createAnswer('reused', known.attempt, known.host);
+		if (existing.fingerprint !== command.fingerprint) {
+			return createOutcome('reused', existing.attempt, existing.host);
 		}
 
-		if (known.attempt === command.attempt && known.state === LEDGER_STATES.claimed) {
-			return createAnswer('granted', known.attempt, known.host);
+		if (existing.attempt === command.attempt && existing.state === LEDGER_STATES.claimed) {
+			return createOutcome('granted', existing.attempt, existing.host);
 		}
 
-		const state = known.state === LEDGER_STATES.claimed ? 'in-flight' : known.state;
-		return createAnswer(state, known.attempt, known.host, known.answer);
+		const state = existing.state === LEDGER_STATES.claimed ? 'in-flight' : existing.state;
+		return createOutcome(state, existing.attempt, existing.host, existing.answer);
 	}
 
-	/** Records how an attempt ended. What is done stays done; an unknown end may still become known. */
+	/** Records the outcome of an attempt. `done` and `not-run` are final, `unknown` may still be replaced. */
 	settle(command: SettleCommand): LedgerOutcome {
-		const known = this.#records.get(command.key);
-		if (known?.attempt !== command.attempt) {
+		const existing = this.#records.get(command.key);
+		if (existing?.attempt !== command.attempt) {
 			if (command.outcome === 'not-run') {
-				// The claim may still be on its way; it must not be granted any more.
-				this.#abandoned.set(command.attempt, command.at);
+				// The claim may still be in transit and must not be granted when it arrives.
+				this.#abandonedAttempts.set(command.attempt, command.at);
 			}
 
-			return createAnswer(command.outcome, command.attempt, '');
+			return createOutcome(command.outcome, command.attempt, '');
 		}
 
-		const isOpen = known.state === LEDGER_STATES.claimed || known.state === LEDGER_STATES.unknown;
+		const isOpen = existing.state === LEDGER_STATES.claimed || existing.state === LEDGER_STATES.unknown;
 		if (!isOpen) {
-			return createAnswer(known.state, known.attempt, known.host, known.answer);
+			return createOutcome(existing.state, existing.attempt, existing.host, existing.answer);
 		}
 
 		if (command.outcome === 'not-run') {
-			this.#abandoned.set(command.attempt, command.at);
+			this.#abandonedAttempts.set(command.attempt, command.at);
 		}
 
 		const settled: LedgerRecord = {
-			...known, state: command.outcome, settledAtMs: command.at, answer: command.answer,
+			...existing, state: command.outcome, settledAtMs: command.at, answer: command.answer,
 		};
 		this.#replace(settled);
-		return createAnswer(command.outcome, known.attempt, known.host, command.answer);
+		return createOutcome(command.outcome, existing.attempt, existing.host, command.answer);
 	}
 
-	/** Forgets what has been settled for longer than the retention. */
+	/** Removes settled records and abandoned attempts that are older than the retention time. */
 	removeExpired(nowMs: number): void {
 		for (const [key, record] of this.#records) {
 			const age = nowMs - record.settledAtMs;
@@ -131,30 +136,30 @@
 			}
 		}
 
-		for (const [attempt, atMs] of this.#abandoned) {
+		for (const [attempt, atMs] of this.#abandonedAttempts) {
 			if (nowMs - atMs < LEDGER_RETENTION_MS) {
 				break;
 			}
 
-			this.#abandoned.delete(attempt);
+			this.#abandonedAttempts.delete(attempt);
 		}
 	}
 
 	createSnapshot(): LedgerSnapshot {
-		return {records: [...this.#records.values()], abandoned: [...this.#abandoned]};
+		return {records: [...this.#records.values()], abandoned: [...this.#abandonedAttempts]};
 	}
 
-	#mayRunAgain(known: LedgerRecord, command: ClaimCommand): boolean {
+	#canRunAgain(existing: LedgerRecord, command: ClaimCommand): boolean {
 		if (!this.#claimBeforeSend) {
-			return known.state === LEDGER_STATES.claimed;
+			return existing.state === LEDGER_STATES.claimed;
 		}
 
-		return known.state === LEDGER_STATES['not-run'] && known.attempt !== command.attempt;
+		return existing.state === LEDGER_STATES['not-run'] && existing.attempt !== command.attempt;
 	}
 
 	#grant(command: ClaimCommand): LedgerOutcome {
 		if (this.#records.size >= MAX_LEDGER_RECORDS) {
-			return createAnswer('not-run', command.attempt, command.host);
+			return createOutcome('not-run', command.attempt, command.host);
 		}
 
 		this.#replace({
@@ -166,17 +171,17 @@
 			claimedAtMs: command.at,
 			settledAtMs: 0,
 		});
-		return createAnswer('granted', command.attempt, command.host);
+		return createOutcome('granted', command.attempt, command.host);
 	}
 
-	/** Moves a record to the end, so that the order of the map is the order of settling. */
+	/** Moves a record to the end, so that settled records are in the order in which they were settled. */
 	#replace(record: LedgerRecord): void {
 		this.#records.delete(record.key);
 		this.#records.set(record.key, record);
 	}
 }
 
-function createAnswer(state: LedgerOutcome['state'], attempt: string, host: string, answer?: StoredResponse): LedgerOutcome {
+function createOutcome(state: LedgerOutcome['state'], attempt: string, host: string, answer?: StoredResponse): LedgerOutcome {
 	return answer === undefined
 		? {
 			type: 'ledger', state, attempt, host,
--- a/src/entry/operator.ts
+++ b/src/entry/operator.ts
@@ -1,5 +1,7 @@
 /**
- * The operators' resource API: list, get, put with the version seen, delete, watch, control replicas, stories.
+ * The operators' HTTP API: reads, writes, deletes and watches resources, reports status, manages the control replicas,
+ * and explains what happened to a request or a planned change. A write can name the version of the resource that the
+ * operator has seen; it is rejected if the resource has changed since.
  *
  * @module
  */
@@ -33,13 +35,13 @@
 	readonly clock: Clock;
 };
 
-/** Path under which the API stands. */
+/** Prefix of all paths of the API. */
 export const OPERATOR_PATH_PREFIX = '/api/v1/';
 const KINDS = new Set(['service', 'model', 'engine', 'team', 'policy', 'change']);
 const WATCH_HEARTBEAT_MS = 5000;
 const FORWARD_TIMEOUT_MS = 2000;
 
-/** Serves operators. */
+/** Handles requests of operators. */
 export class OperatorHandler {
 	readonly #options: OperatorHandlerOptions;
 
@@ -47,7 +49,7 @@
 		this.#options = options;
 	}
 
-	/** Serves one call to its end. */
+	/** Handles one request. */
 	async handle(exchange: Exchange, body: Buffer): Promise<void> {
 		const [collection, kind, name] = exchange.path.slice(OPERATOR_PATH_PREFIX.length).split('/').map(part => decodeURIComponent(part));
 		switch (collection) {
@@ -113,20 +115,20 @@
 	}
 
 	async #read(exchange: Exchange, kind: string | undefined, name: string | undefined): Promise<void> {
-		const listing = await this.#options.client.readResources(-1)();
-		if (Either.isLeft(listing)) {
-			sendProblem(exchange, listing.left);
+		const reply = await this.#options.client.readResources(-1)();
+		if (Either.isLeft(reply)) {
+			sendProblem(exchange, reply.left);
 			return;
 		}
 
-		const {version, resources} = listing.right.view;
-		const chosen = resources.filter(resource => kind === undefined || resource.specification.kind === kind);
+		const {version, resources} = reply.right.view;
+		const matching = resources.filter(resource => kind === undefined || resource.specification.kind === kind);
 		if (name === undefined) {
-			sendJson(exchange, 200, {version, resources: chosen});
+			sendJson(exchange, 200, {version, resources: matching});
 			return;
 		}
 
-		const resource = chosen.find(candidate => candidate.name === name);
+		const resource = matching.find(candidate => candidate.name === name);
 		if (resource) {
 			sendJson(exchange, 200, resource);
 		} else {
@@ -155,7 +157,7 @@
 			return;
 		}
 
-		const proposed = await this.#options.client.propose({
+		const reply = await this.#options.client.propose({
 			type: 'put',
 			at: this.#options.clock.wallMs(),
 			requestId: readHeader(exchange.request, 'idempotency-key') ?? randomUUID(),
@@ -163,7 +165,7 @@
 			seen,
 			specification: checked.right,
 		})();
-		sendOutcome(exchange, proposed);
+		sendOutcome(exchange, reply);
 	}
 
 	async #remove(exchange: Exchange, {kind, name}: {kind: string; name: string}): Promise<void> {
@@ -173,7 +175,7 @@
 			return;
 		}
 
-		const proposed = await this.#options.client.propose({
+		const reply = await this.#options.client.propose({
 			type: 'remove',
 			at: this.#options.clock.wallMs(),
 			requestId: readHeader(exchange.request, 'idempotency-key') ?? randomUUID(),
@@ -181,10 +183,10 @@
 			name,
 			seen,
 		})();
-		sendOutcome(exchange, proposed);
+		sendOutcome(exchange, reply);
 	}
 
-	/** Streams every change since a version as a JSON line; each line's version is where to resume from. */
+	/** Streams all changes since a version, one JSON object per line. A watch resumes from the version of the last line. */
 	async #watch(exchange: Exchange): Promise<void> {
 		let from = Number(exchange.query.get('from') ?? -1);
 		if (!Number.isInteger(from) || from < -1) {
@@ -193,28 +195,28 @@
 		}
 
 		const {response} = exchange;
-		const alarm = new EventEmitter();
-		const ring = () => {
-			alarm.emit('ring');
+		const events = new EventEmitter();
+		const notify = () => {
+			events.emit('update');
 		};
 
-		const stopListening = this.#options.viewTask.onChange(ring);
-		const heartbeat = setInterval(ring, WATCH_HEARTBEAT_MS);
-		response.once('close', ring);
+		const removeListener = this.#options.viewTask.onChange(notify);
+		const heartbeat = setInterval(notify, WATCH_HEARTBEAT_MS);
+		response.once('close', notify);
 		while (!response.destroyed) {
-			const wake = once(alarm, 'ring');
-			const listing = await this.#options.client.readResources(from)();
-			const update = Either.isRight(listing) ? listing.right.view : undefined;
+			const notified = once(events, 'update');
+			const reply = await this.#options.client.readResources(from)();
+			const update = Either.isRight(reply) ? reply.right.view : undefined;
 			if (update && (update.version > from || !response.headersSent)) {
 				from = Math.max(from, update.version);
-				writeLine(exchange, update);
+				writeUpdate(exchange, update);
 			}
 
-			await wake;
+			await notified;
 		}
 
 		clearInterval(heartbeat);
-		stopListening();
+		removeListener();
 	}
 
 	#sendStatus(exchange: Exchange): void {
@@ -254,11 +256,11 @@
 			return;
 		}
 
-		const {type: _type, id: _id, ...answer} = reply.right;
-		sendJson(exchange, 200, answer);
+		const {type: _type, id: _id, ...result} = reply.right;
+		sendJson(exchange, 200, result);
 	}
 
-	/** Tells the story of a request or a planned change. */
+	/** Sends the timeline of a request or a planned change. */
 	async #explain(exchange: Exchange, subject: string): Promise<void> {
 		const {journal} = this.#options;
 		const entry = journal.findEntry(subject);
@@ -271,21 +273,21 @@
 
 		const change = this.#options.view.get('change', subject);
 		if (change) {
-			sendJson(exchange, 200, describeChangeStory(change));
+			sendJson(exchange, 200, explainChange(change));
 			return;
 		}
 
-		const story = exchange.query.get('forwarded') === null ? await this.#askHost(exchange, subject) : undefined;
-		if (story === undefined) {
+		const explanation = exchange.query.get('forwarded') === null ? await this.#fetchExplanation(exchange, subject) : undefined;
+		if (explanation === undefined) {
 			sendProblem(exchange, createProblem('notFound', `Nothing is known of ${subject}; requests are kept for a while by the host that served them.`));
 			return;
 		}
 
-		sendJson(exchange, 200, story);
+		sendJson(exchange, 200, explanation);
 	}
 
-	/** A request's identity begins with the host that served it. */
-	async #askHost(exchange: Exchange, subject: string): Promise<unknown> {
+	/** Asks the host that served a request for its timeline. The ID of a request starts with the name of that host. */
+	async #fetchExplanation(exchange: Exchange, subject: string): Promise<unknown> {
 		const fact = this.#options.directory.listHosts().find(host => subject.startsWith(`${host.peer.host}_`));
 		if (!fact?.http || fact.peer.host === this.#options.host) {
 			return undefined;
@@ -297,15 +299,15 @@
 			const {statusCode, body} = await httpRequest(url, {
 				headersTimeout: FORWARD_TIMEOUT_MS, bodyTimeout: FORWARD_TIMEOUT_MS, headers: authorization === undefined ? {} : {authorization},
 			});
-			const story = await body.json();
-			return statusCode === 200 ? story : undefined;
+			const explanation = await body.json();
+			return statusCode === 200 ? explanation : undefined;
 		} catch {
 			return undefined;
 		}
 	}
 }
 
-function writeLine(exchange: Exchange, update: ViewUpdate): void {
+function writeUpdate(exchange: Exchange, update: ViewUpdate): void {
 	const {response} = exchange;
 	if (!response.headersSent) {
 		response.writeHead(200, {'content-type': 'application/x-ndjson', 'cache-control': 'no-cache', 'x-request-id': exchange.id});
@@ -314,13 +316,13 @@
 	response.write(`${JSON.stringify(update)}\n`);
 }
 
-function sendOutcome(exchange: Exchange, proposed: Either.Either<Problem, ProposeReply>): void {
-	if (Either.isLeft(proposed)) {
-		sendProblem(exchange, proposed.left);
+function sendOutcome(exchange: Exchange, reply: Either.Either<Problem, ProposeReply>): void {
+	if (Either.isLeft(reply)) {
+		sendProblem(exchange, reply.left);
 		return;
 	}
 
-	const {outcome} = proposed.right;
+	const {outcome} = reply.right;
 	if (outcome.type === 'conflict') {
 		const problem = {...createProblem(findProblemName(outcome.code)), text: outcome.text};
 		sendJson(exchange, problem.status, {
@@ -331,10 +333,10 @@
 		return;
 	}
 
-	sendJson(exchange, 200, {version: outcome.type === 'accepted' ? outcome.version : proposed.right.index});
+	sendJson(exchange, 200, {version: outcome.type === 'accepted' ? outcome.version : reply.right.index});
 }
 
-function describeChangeStory(change: Resource) {
+function explainChange(change: Resource) {
 	const history = change.status?.history ?? [];
 	return {
 		subject: change.name,
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -1,5 +1,6 @@
 /**
- * The HTTP side of an entry host: callers, backend servers' announcements, operators, the platform's checks.
+ * The HTTP server of an entry host, for callers, backend servers' announcements, operators, and health checks and
+ * metrics of the platform.
  *
  * @module
  */
@@ -41,12 +42,12 @@
 const KEEP_ALIVE_MS = 65_000;
 const ANNOUNCE_PATH = '/backends/announce';
 
-/** The listening HTTP server. Whoever started it closes it. */
+/** The HTTP server of an entry host. Its creator must close it. */
 export class EntryServer {
 	readonly #options: EntryServerOptions;
 	readonly #server: http.Server;
-	#next = 1;
-	#active = 0;
+	#nextRequestNumber = 1;
+	#activeCount = 0;
 	#isStopping = false;
 
 	constructor(options: EntryServerOptions) {
@@ -55,21 +56,21 @@
 			void this.#serve(request, response);
 		};
 
-		const settings = {maxHeaderSize: options.limits.headerBytes, keepAliveTimeout: KEEP_ALIVE_MS};
-		this.#server = options.tls ? https.createServer({...settings, ...options.tls}, listener) : http.createServer(settings, listener);
+		const serverOptions = {maxHeaderSize: options.limits.headerBytes, keepAliveTimeout: KEEP_ALIVE_MS};
+		this.#server = options.tls ? https.createServer({...serverOptions, ...options.tls}, listener) : http.createServer(serverOptions, listener);
 		this.#server.requestTimeout = 0;
 		this.#server.headersTimeout = options.limits.bodyTimeoutMs;
 		this.#server.on('clientError', (error: Error & {code?: string}, socket) => {
-			refuseMalformed(error, socket as Socket);
+			rejectMalformed(error, socket as Socket);
 		});
 	}
 
-	/** Requests that are being served now. */
+	/** Number of requests in progress. */
 	get activeCount(): number {
-		return this.#active;
+		return this.#activeCount;
 	}
 
-	/** Listens and returns the port taken. */
+	/** Starts listening and returns the port. */
 	async listen({address, port}: Endpoint): Promise<Either.Either<Problem, number>> {
 		return new Promise(resolve => {
 			this.#server.once('error', error => {
@@ -81,18 +82,18 @@
 		});
 	}
 
-	/** Refuses readiness from now on; requests are still served. */
+	/** Reports not ready from now on. Requests are still served. */
 	beginStop(): void {
 		this.#isStopping = true;
 	}
 
-	/** Accepts no connection any more and ends idle ones. */
+	/** Stops accepting connections and closes idle ones. */
 	stopAccepting(): void {
 		this.#server.close();
 		this.#server.closeIdleConnections();
 	}
 
-	/** Ends every connection. */
+	/** Stops listening and closes all connections. */
 	close(): void {
 		this.#server.close();
 		this.#server.closeAllConnections();
@@ -101,7 +102,7 @@
 	async #serve(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
 		const url = URL.parse(request.url ?? '/', 'http://entry');
 		const exchange: Exchange = {
-			id: `${this.#options.host}_${this.#options.boot.slice(0, 8)}_${this.#next++}`,
+			id: `${this.#options.host}_${this.#options.boot.slice(0, 8)}_${this.#nextRequestNumber++}`,
 			request,
 			response,
 			method: request.method ?? 'GET',
@@ -112,25 +113,25 @@
 			response.setHeader('connection', 'close');
 		}
 
-		this.#active++;
+		this.#activeCount++;
 		response.once('close', () => {
-			this.#active--;
+			this.#activeCount--;
 		});
 		try {
 			await this.#dispatch(exchange);
 		} catch (error) {
-			this.#options.logger.error('An unexpected fault.', {request: exchange.id, error: String(error), stack: (error as Error).stack});
+			this.#options.logger.error('Unexpected error while serving a request.', {request: exchange.id, error: String(error), stack: (error as Error).stack});
 			sendProblem(exchange, createProblem('internal', `Request ${exchange.id}.`));
 		}
 	}
 
 	async #dispatch(exchange: Exchange): Promise<void> {
-		if (exchange.method === 'GET' && await this.#servePlatform(exchange)) {
+		if (exchange.method === 'GET' && await this.#serveHealthOrMetrics(exchange)) {
 			return;
 		}
 
 		const isOperator = exchange.path.startsWith(OPERATOR_PATH_PREFIX);
-		const problem = this.#checkKey(exchange, isOperator);
+		const problem = this.#authorize(exchange, isOperator);
 		if (problem) {
 			sendProblem(exchange, problem);
 			return;
@@ -145,8 +146,8 @@
 		await (isOperator ? this.#options.operators.handle(exchange, body.right) : this.#serveCaller(exchange, body.right));
 	}
 
-	/** Answers the platform's checks; true if it was one. */
-	async #servePlatform(exchange: Exchange): Promise<boolean> {
+	/** Answers health checks and metrics requests of the platform. Returns false for any other request. */
+	async #serveHealthOrMetrics(exchange: Exchange): Promise<boolean> {
 		const {metrics, isReady} = this.#options;
 		switch (exchange.path) {
 			case '/healthz': {
@@ -173,22 +174,22 @@
 		}
 	}
 
-	#checkKey(exchange: Exchange, isOperator: boolean): Problem | undefined {
+	#authorize(exchange: Exchange, isOperator: boolean): Problem | undefined {
 		const {operatorKeys, callerKeys} = this.#options;
 		const keys = isOperator ? operatorKeys : callerKeys;
 		if (keys === undefined || exchange.path === ANNOUNCE_PATH) {
 			return undefined;
 		}
 
-		const given = readHeader(exchange.request, 'authorization')?.replace(/^Bearer /v, '') ?? '';
-		return keys.includes(given) ? undefined : createProblem('unauthorized');
+		const key = readHeader(exchange.request, 'authorization')?.replace(/^Bearer /v, '') ?? '';
+		return keys.includes(key) ? undefined : createProblem('unauthorized');
 	}
 
 	async #serveCaller(exchange: Exchange, body: Buffer): Promise<void> {
 		const {models, services} = this.#options;
 		const {method, path} = exchange;
 		if (method === 'POST' && path === ANNOUNCE_PATH) {
-			this.#announce(exchange, body);
+			this.#handleAnnouncement(exchange, body);
 			return;
 		}
 
@@ -203,7 +204,7 @@
 		}
 
 		if (method === 'GET' && path === '/v1/models') {
-			this.#listModels(exchange);
+			this.#sendModels(exchange);
 			return;
 		}
 
@@ -216,7 +217,7 @@
 		sendProblem(exchange, createProblem('notFound', `${method} ${path}`));
 	}
 
-	#announce(exchange: Exchange, body: Buffer): void {
+	#handleAnnouncement(exchange: Exchange, body: Buffer): void {
 		const parsed = parseJson(body);
 		if (Either.isLeft(parsed)) {
 			sendProblem(exchange, parsed.left);
@@ -233,7 +234,7 @@
 		sendJson(exchange, 200, {accepted: true});
 	}
 
-	#listModels(exchange: Exchange): void {
+	#sendModels(exchange: Exchange): void {
 		const data = this.#options.pool.listModels().map(id => ({
 			id, object: 'model', created: 0, owned_by: 'carawayhoist',
 		}));
@@ -241,16 +242,16 @@
 	}
 }
 
-/** Answers bytes that are not HTTP, or headers that are too long or too slow, and closes only that connection. */
-function refuseMalformed(error: Error & {code?: string}, socket: Socket): void {
+/** Sends an error for input that is not HTTP, or headers that are too long or too slow, and closes only that connection. */
+function rejectMalformed(error: Error & {code?: string}, socket: Socket): void {
 	if (error.code === 'ECONNRESET' || !socket.writable) {
 		socket.destroy();
 		return;
 	}
 
-	const isSlow = error.code === 'ERR_HTTP_REQUEST_TIMEOUT';
-	const isLarge = error.code === 'HPE_HEADER_OVERFLOW';
-	const problem = createProblem(isSlow ? 'requestTimeout' : (isLarge ? 'headersInvalid' : 'badRequest'));
+	const isTimeout = error.code === 'ERR_HTTP_REQUEST_TIMEOUT';
+	const isHeaderOverflow = error.code === 'HPE_HEADER_OVERFLOW';
+	const problem = createProblem(isTimeout ? 'requestTimeout' : (isHeaderOverflow ? 'headersInvalid' : 'badRequest'));
 	const body = JSON.stringify(createErrorBody(problem));
 	const head = [
 		`HTTP/1.1 ${problem.status} ${http.STATUS_CODES[problem.status] ?? 'Error'}`,
--- a/src/routing/admission.ts
+++ b/src/routing/admission.ts
@@ -1,8 +1,8 @@
 /**
- * Admission: how much work goes to the engines at once, and whose comes next.
+ * Admission control: limits the work in flight at the engines and orders the requests that wait.
  *
- * Waiting requests are served by weighted fair queueing over teams (virtual finish times by estimated tokens); a
- * request whose deadline cannot be met is refused at once.
+ * Waiting requests are scheduled by weighted fair queueing across teams (virtual finish times from estimated tokens).
+ * A request whose start deadline cannot be met is refused at once.
  *
  * @module
  */
@@ -12,9 +12,9 @@
 	readonly weight: number;
 	/** Estimated cost, tokens. */
 	readonly tokens: number;
-	/** Most tokens of the team in flight at this host. */
+	/** Maximum tokens of the team in flight at this host. */
 	readonly teamTokenLimit: number;
-	/** Monotonic time at which waiting makes no sense any more, milliseconds. */
+	/** Monotonic time after which the request is refused if it has not started, milliseconds. */
 	readonly latestStartMs: number;
 };
 
@@ -22,19 +22,19 @@
 	= | {readonly type: 'start'; readonly id: string}
 		| {readonly type: 'refuse'; readonly id: string; readonly reason: 'capacity' | 'team'; readonly retryAfterSeconds: number};
 
-type Waiting = AdmissionRequest & {readonly finishTag: number};
+type QueuedRequest = AdmissionRequest & {readonly finishTag: number};
 
-/** Decides which requests run. A step machine: time is handed in. */
+/** Decides which requests start. Performs no I/O; the caller passes the current time. */
 export class AdmissionController {
 	readonly #running = new Map<string, AdmissionRequest>();
 	readonly #teamTokens = new Map<string, number>();
-	readonly #teamTags = new Map<string, number>();
-	#waiting: Waiting[] = [];
+	readonly #teamFinishTags = new Map<string, number>();
+	#waiting: QueuedRequest[] = [];
 	#runningTokens = 0;
 	#virtualTime = 0;
-	/** Tokens finished in the last seconds, as a rate. */
+	/** Moving average of the rate of completed tokens over the last seconds. */
 	#tokensPerMs = 0;
-	#rateAtMs = 0;
+	#rateUpdatedMs = 0;
 
 	get waitingCount(): number {
 		return this.#waiting.length;
@@ -44,7 +44,7 @@
 		return this.#running.size;
 	}
 
-	/** Offers a request; its start or refusal may come at once or later. */
+	/** Submits a request. Its start or refusal is among the events returned now or by a later call. */
 	submit(request: AdmissionRequest, capacityTokens: number, nowMs: number): AdmissionEvent[] {
 		if (request.tokens > request.teamTokenLimit) {
 			return [{
@@ -59,14 +59,14 @@
 			}];
 		}
 
-		const start = Math.max(this.#virtualTime, this.#teamTags.get(request.team) ?? 0);
+		const start = Math.max(this.#virtualTime, this.#teamFinishTags.get(request.team) ?? 0);
 		const finishTag = start + (request.tokens / request.weight);
-		this.#teamTags.set(request.team, finishTag);
+		this.#teamFinishTags.set(request.team, finishTag);
 		this.#waiting.push({...request, finishTag});
 		return this.dispatch(capacityTokens, nowMs);
 	}
 
-	/** Notes that a request has ended, however it did. */
+	/** Removes a request that has ended, with or without success, and starts waiting ones. */
 	complete(id: string, capacityTokens: number, nowMs: number): AdmissionEvent[] {
 		const request = this.#running.get(id);
 		if (!request) {
@@ -77,34 +77,34 @@
 		this.#running.delete(id);
 		this.#runningTokens -= request.tokens;
 		this.#addTeamTokens(request.team, -request.tokens);
-		this.#noteRate(request.tokens, nowMs);
+		this.#updateRate(request.tokens, nowMs);
 		return this.dispatch(capacityTokens, nowMs);
 	}
 
-	/** Starts what fits and refuses what has waited too long. */
+	/** Starts the waiting requests that fit and refuses those whose start deadline has passed. */
 	dispatch(capacityTokens: number, nowMs: number): AdmissionEvent[] {
 		const events: AdmissionEvent[] = [];
-		for (const late of this.#waiting.filter(waiting => waiting.latestStartMs < nowMs)) {
+		for (const expired of this.#waiting.filter(waiting => waiting.latestStartMs < nowMs)) {
 			events.push({
-				type: 'refuse', id: late.id, reason: 'capacity', retryAfterSeconds: 1,
+				type: 'refuse', id: expired.id, reason: 'capacity', retryAfterSeconds: 1,
 			});
 		}
 
 		this.#waiting = this.#waiting.filter(waiting => waiting.latestStartMs >= nowMs);
 		this.#waiting.sort((a, b) => a.finishTag - b.finishTag);
-		const kept: Waiting[] = [];
+		const stillWaiting: QueuedRequest[] = [];
 		for (const waiting of this.#waiting) {
 			if (this.#fits(waiting, capacityTokens)) {
 				this.#start(waiting);
 				events.push({type: 'start', id: waiting.id});
 			} else {
-				kept.push(waiting);
+				stillWaiting.push(waiting);
 			}
 		}
 
-		this.#waiting = kept;
-		if (this.#running.size === 0 && kept.length === 0) {
-			this.#teamTags.clear();
+		this.#waiting = stillWaiting;
+		if (this.#running.size === 0 && stillWaiting.length === 0) {
+			this.#teamFinishTags.clear();
 			this.#virtualTime = 0;
 		}
 
@@ -113,11 +113,11 @@
 
 	#fits(request: AdmissionRequest, capacityTokens: number): boolean {
 		const team = this.#teamTokens.get(request.team) ?? 0;
-		const fitsFleet = this.#runningTokens + request.tokens <= capacityTokens || this.#running.size === 0;
-		return fitsFleet && team + request.tokens <= request.teamTokenLimit;
+		const fitsCapacity = this.#runningTokens + request.tokens <= capacityTokens || this.#running.size === 0;
+		return fitsCapacity && team + request.tokens <= request.teamTokenLimit;
 	}
 
-	#start(waiting: Waiting): void {
+	#start(waiting: QueuedRequest): void {
 		this.#running.set(waiting.id, waiting);
 		this.#runningTokens += waiting.tokens;
 		this.#addTeamTokens(waiting.team, waiting.tokens);
@@ -139,33 +139,34 @@
 		return excess > 0 && this.#tokensPerMs > 0 ? excess / this.#tokensPerMs : 0;
 	}
 
-	#noteRate(tokens: number, nowMs: number): void {
-		const elapsedMs = Math.max(1, nowMs - this.#rateAtMs);
-		const keep = Math.exp(-elapsedMs / 5000);
-		this.#tokensPerMs = (this.#tokensPerMs * keep) + (tokens / 5000);
-		this.#rateAtMs = nowMs;
+	#updateRate(tokens: number, nowMs: number): void {
+		const elapsedMs = Math.max(1, nowMs - this.#rateUpdatedMs);
+		const decay = Math.exp(-elapsedMs / 5000);
+		this.#tokensPerMs = (this.#tokensPerMs * decay) + (tokens / 5000);
+		this.#rateUpdatedMs = nowMs;
 	}
 }
 
-const SHRINK_FACTOR = 0.9;
-const GROW_STEP = 0.01;
-const SMALLEST_MARGIN = 0.1;
+const DECREASE_FACTOR = 0.9;
+const INCREASE_STEP = 0.01;
+const MIN_SHARE = 0.1;
 
 /**
- * How much of a target may be promised: falls fast when admitted work comes late, and rises slowly while it is on
- * time. Corrects estimates that are made from stale reports.
+ * Share of a latency target that an estimate may use for a request to be admitted. Decreases multiplicatively when an
+ * admitted request is late and increases additively while requests are on time, which corrects for estimates that are
+ * based on stale load reports.
  */
 export class AdmissionMargin {
 	#share = 1;
 
-	/** Share of the target that an estimate may use up. */
+	/** Share of the target that an estimate may use, between 0.1 and 1. */
 	get share(): number {
 		return this.#share;
 	}
 
 	record(isOnTime: boolean): void {
 		this.#share = isOnTime
-			? Math.min(1, this.#share + GROW_STEP)
-			: Math.max(SMALLEST_MARGIN, this.#share * SHRINK_FACTOR);
+			? Math.min(1, this.#share + INCREASE_STEP)
+			: Math.max(MIN_SHARE, this.#share * DECREASE_FACTOR);
 	}
 }
--- a/src/routing/budget.ts
+++ b/src/routing/budget.ts
@@ -1,72 +1,72 @@
 /**
- * This host's share of the repeats that a service bears: what all hosts send beyond the first of each request stays
- * within a share of the requests and a fixed allowance, in every window.
+ * Per-service retry budget. In every time window, the retries of all hosts together stay within a ratio of the
+ * requests plus a fixed allowance, so that retries cannot overload a service. Each host enforces its own share.
  *
  * @module
  */
 export type RetryBudgetLimits = {
-	/** Repeats for each request. */
+	/** Retries allowed per request. */
 	readonly ratio: number;
-	/** Repeats that all hosts together may send beside that in one window. */
+	/** Additional retries that all hosts together may send in one window. */
 	readonly allowance: number;
 	readonly windowMs: number;
 };
 
-/** Part of the budget that is given out; the rest covers windows that are cut differently. */
+/** Share of the budget that is granted. The rest is a margin for windows that are not aligned with those of the hosts. */
 const SAFE_SHARE = 0.5;
 
-type Window = {
+type SlidingWindow = {
 	readonly requests: number[];
-	readonly repeats: number[];
+	readonly retries: number[];
 };
 
-/** Counts requests and repeats by service. A step machine: time is handed in. */
+/** Counts requests and retries by service in a sliding window. Performs no I/O; the caller passes the current time. */
 export class ServiceRetryBudget {
 	#limits: RetryBudgetLimits;
-	readonly #services = new Map<string, Window>();
+	readonly #services = new Map<string, SlidingWindow>();
 	#hosts = 1;
 
 	constructor(limits: RetryBudgetLimits) {
 		this.#limits = limits;
 	}
 
-	/** Replaces the limits; what was counted stays counted. */
+	/** Replaces the limits and keeps the counts. */
 	updateLimits(limits: RetryBudgetLimits): void {
 		this.#limits = limits;
 	}
 
-	/** Takes the number of hosts that share the allowance. */
+	/** Sets the number of hosts among which the allowance is divided. */
 	setHostCount(hosts: number): void {
 		this.#hosts = Math.max(1, hosts);
 	}
 
 	recordRequest(service: string, nowMs: number): void {
-		this.#windowOf(service, nowMs).requests.push(nowMs);
+		this.#getWindow(service, nowMs).requests.push(nowMs);
 	}
 
-	/** Takes one repeat if the budget allows it. */
+	/** Consumes one retry; returns false if the budget is exhausted. */
 	tryAcquire(service: string, nowMs: number): boolean {
-		const {requests, repeats} = this.#windowOf(service, nowMs);
+		const {requests, retries} = this.#getWindow(service, nowMs);
 		const {ratio, allowance} = this.#limits;
 		const limit = ((requests.length * ratio) + (allowance / this.#hosts)) * SAFE_SHARE;
-		if (repeats.length + 1 > limit) {
+		if (retries.length + 1 > limit) {
 			return false;
 		}
 
-		repeats.push(nowMs);
+		retries.push(nowMs);
 		return true;
 	}
 
-	#windowOf(service: string, nowMs: number): Window {
+	#getWindow(service: string, nowMs: number): SlidingWindow {
 		let window = this.#services.get(service);
 		if (!window) {
-			window = {requests: [], repeats: []};
+			window = {requests: [], retries: []};
 			this.#services.set(service, window);
 		}
 
-		const fromMs = nowMs - this.#limits.windowMs;
-		for (const times of [window.requests, window.repeats]) {
-			while (times.length > 0 && times[0]! <= fromMs) {
+		const startMs = nowMs - this.#limits.windowMs;
+		for (const times of [window.requests, window.retries]) {
+			while (times.length > 0 && times[0]! <= startMs) {
 				times.shift();
 			}
 		}
--- a/src/routing/handoff.ts
+++ b/src/routing/handoff.ts
@@ -1,5 +1,5 @@
 /**
- * Decides whether a request's prompt is computed at one engine and its answer at another, with the KV cache moved.
+ * Decides whether a request is prefilled at one engine and decoded at another, with a transfer of the KV cache between.
  *
  * @module
  */
@@ -8,31 +8,32 @@
 	chooseEngine, DEFAULT_CHOICE_OPTIONS, ENGINE_ROLES, type Candidate, type ChoiceOptions, type EngineChoice, type RequestShape,
 } from './choice.js';
 
+/** Speed of KV cache transfers between engines. */
 export type TransferSpeed = {
-	/** KV tokens that are moved in a millisecond. */
+	/** KV cache tokens transferred per millisecond. */
 	readonly tokensPerMs: number;
-	/** Time of a move beside its tokens, milliseconds. */
+	/** Fixed time per transfer, milliseconds. */
 	readonly setupMs: number;
 };
 
 export const DEFAULT_TRANSFER: TransferSpeed = {tokensPerMs: 200, setupMs: 5};
 
-/** Where a request goes: to one engine, or to one for the prompt and another for the answer. */
+/** Where a request goes: to one engine, or to a prefill engine that hands off to a decode engine. */
 export type Placement = {
 	readonly first: EngineChoice;
-	/** Whether the answer is to be continued at another engine after the first token. */
+	/** Whether another engine continues after the first token. */
 	readonly handsOff: boolean;
 };
 
-/** Uncached prompt tokens below which a decode engine computes the prompt itself. */
+/** Minimum number of uncached prompt tokens for a handoff; decode engines prefill shorter prompts themselves. */
 export const MIN_HANDOFF_TOKENS = 512;
 
 /**
- * Chooses an engine for a new request, and whether it hands off after the prompt.
+ * Chooses an engine for a new request, and whether it hands off after prefill.
  *
  * @example
  * ```ts
- * placeRequest(shape, candidates, random)?.handsOff; // true for a long prompt with prefill engines about
+ * placeRequest(shape, candidates, random)?.handsOff; // true for a long prompt if there are prefill engines
  * ```
  */
 export function placeRequest(
@@ -41,27 +42,27 @@
 	random: Random,
 	options: ChoiceOptions = DEFAULT_CHOICE_OPTIONS,
 ): Placement | undefined {
-	const direct = candidates.filter(candidate => candidate.role !== ENGINE_ROLES.prefill);
-	const prefill = candidates.filter(candidate => candidate.role === ENGINE_ROLES.prefill);
-	const straight = chooseEngine(shape, direct.length > 0 ? direct : candidates, random, options);
-	if (prefill.length === 0 || direct.length === 0 || !straight) {
-		return straight && {first: straight, handsOff: false};
+	const decodeCapable = candidates.filter(candidate => candidate.role !== ENGINE_ROLES.prefill);
+	const prefillEngines = candidates.filter(candidate => candidate.role === ENGINE_ROLES.prefill);
+	const single = chooseEngine(shape, decodeCapable.length > 0 ? decodeCapable : candidates, random, options);
+	if (prefillEngines.length === 0 || decodeCapable.length === 0 || !single) {
+		return single && {first: single, handsOff: false};
 	}
 
-	const first = chooseEngine({...shape, outputTokens: 1}, prefill, random, {...options, respectRoles: false});
-	const own = candidates.find(candidate => candidate.server === straight.server)!;
-	const uncached = shape.promptTokens - (options.usePrefixCache ? Math.min(own.cachedTokens, shape.promptTokens) : 0);
-	if (!first || uncached < MIN_HANDOFF_TOKENS) {
-		return {first: straight, handsOff: false};
+	const first = chooseEngine({...shape, outputTokens: 1}, prefillEngines, random, {...options, respectRoles: false});
+	const singleCandidate = candidates.find(candidate => candidate.server === single.server)!;
+	const uncachedTokens = shape.promptTokens - (options.usePrefixCache ? Math.min(singleCandidate.cachedTokens, shape.promptTokens) : 0);
+	if (!first || uncachedTokens < MIN_HANDOFF_TOKENS) {
+		return {first: single, handsOff: false};
 	}
 
-	const moveMs = DEFAULT_TRANSFER.setupMs + (shape.promptTokens / DEFAULT_TRANSFER.tokensPerMs);
-	const isCheaper = first.cost.firstTokenMs + moveMs < straight.cost.firstTokenMs + (uncached / own.speed.prefillTokensPerMs);
-	return isCheaper ? {first, handsOff: true} : {first: straight, handsOff: false};
+	const transferMs = DEFAULT_TRANSFER.setupMs + (shape.promptTokens / DEFAULT_TRANSFER.tokensPerMs);
+	const isCheaper = first.cost.firstTokenMs + transferMs < single.cost.firstTokenMs + (uncachedTokens / singleCandidate.speed.prefillTokensPerMs);
+	return isCheaper ? {first, handsOff: true} : {first: single, handsOff: false};
 }
 
 /**
- * Chooses the engine that continues after a handoff: the KV cache comes along, so only decoding counts.
+ * Chooses the engine that continues after a handoff. The KV cache is transferred to it, so only decoding is counted.
  *
  * @example
  * ```ts
@@ -74,8 +75,8 @@
 	random: Random,
 	options: ChoiceOptions = DEFAULT_CHOICE_OPTIONS,
 ): EngineChoice | undefined {
-	const direct = candidates.filter(candidate => candidate.role !== ENGINE_ROLES.prefill);
-	const usable = (direct.length > 0 ? direct : candidates).map(candidate => ({...candidate, cachedTokens: shape.promptTokens}));
+	const decodeCapable = candidates.filter(candidate => candidate.role !== ENGINE_ROLES.prefill);
+	const usable = (decodeCapable.length > 0 ? decodeCapable : candidates).map(candidate => ({...candidate, cachedTokens: shape.promptTokens}));
 	return chooseEngine(shape, usable, random, {...options, respectRoles: false, usePrefixCache: true});
 }
 
--- a/src/routing/load.ts
+++ b/src/routing/load.ts
@@ -1,10 +1,11 @@
 /**
- * How loaded each engine is, as one entry host can know it: the last report, which lags, and its own work since.
+ * Load of each engine as one entry host estimates it, from the engine's last report, which lags, and the host's own
+ * requests since.
  *
  * @module
  */
 
-/** What an engine reports of itself. */
+/** Load that an engine reports about itself. */
 export type LoadReport = {
 	readonly running: number;
 	readonly waiting: number;
@@ -13,24 +14,24 @@
 	readonly freePieces?: number;
 };
 
-/** Work that one request puts on an engine. */
+/** Work that one request causes at an engine. */
 export type WorkSize = {
 	/** Prompt tokens that are not in the engine's prefix cache. */
 	readonly prefillTokens: number;
-	/** Expected tokens of the answer. */
+	/** Expected number of output tokens. */
 	readonly outputTokens: number;
-	/** Prompt tokens, cached or not. */
+	/** All prompt tokens, cached or not. */
 	readonly promptTokens: number;
 };
 
-/** The load that a new request would meet. */
+/** Estimated load at an engine when a new request arrives. */
 export type LoadEstimate = {
 	readonly requests: number;
 	readonly prefillTokens: number;
 	readonly decodeTokens: number;
 };
 
-type Flight = {
+type InFlightRequest = {
 	readonly size: WorkSize;
 	readonly sentMs: number;
 	hasFirstToken: boolean;
@@ -39,17 +40,17 @@
 type EngineLoad = {
 	report: LoadReport;
 	reportMs: number;
-	readonly flights: Map<string, Flight>;
+	readonly inFlight: Map<string, InFlightRequest>;
 };
 
 const EMPTY_REPORT: LoadReport = {
 	running: 0, waiting: 0, prefillTokens: 0, decodeTokens: 0,
 };
 
-/** Tracks the load of engines. A step machine: time is handed in. */
+/** Tracks the load of engines. Performs no I/O; the caller passes the current time. */
 export class LoadTracker {
 	readonly #engines = new Map<string, EngineLoad>();
-	/** How old the content of a report is when it arrives, milliseconds. */
+	/** Age of a report's content when it arrives, milliseconds. */
 	readonly #reportLagMs: number;
 
 	constructor(reportLagMs = 100) {
@@ -57,34 +58,36 @@
 	}
 
 	recordReport(server: string, report: LoadReport, nowMs: number): void {
-		const engine = this.#engineOf(server);
+		const engine = this.#getEngine(server);
 		engine.report = report;
 		engine.reportMs = nowMs;
 	}
 
-	/** Notes a request that was sent. */
+	/** Records that a request was sent to a server. */
 	startRequest(server: string, id: string, size: WorkSize, nowMs: number): void {
-		this.#engineOf(server).flights.set(id, {size, sentMs: nowMs, hasFirstToken: false});
+		this.#getEngine(server).inFlight.set(id, {size, sentMs: nowMs, hasFirstToken: false});
 	}
 
-	/** Notes that a request's prefill is over. */
+	/** Records that a request's prefill has completed. */
 	recordFirstToken(server: string, id: string): void {
-		const flight = this.#engines.get(server)?.flights.get(id);
-		if (flight) {
-			flight.hasFirstToken = true;
+		const request = this.#engines.get(server)?.inFlight.get(id);
+		if (request) {
+			request.hasFirstToken = true;
 		}
 	}
 
 	endRequest(server: string, id: string): void {
-		this.#engines.get(server)?.flights.delete(id);
+		this.#engines.get(server)?.inFlight.delete(id);
 	}
 
-	/** This host's own requests in flight at a server. */
+	/** Counts this host's requests in flight at a server. */
 	countInFlight(server: string): number {
-		return this.#engines.get(server)?.flights.size ?? 0;
+		return this.#engines.get(server)?.inFlight.size ?? 0;
 	}
 
-	/** Estimates the load that a new request meets: the report, plus own requests that it cannot contain yet. */
+	/**
+	 * Estimates the load at a server: its last report plus this host's requests that are too recent to be in the report.
+	 */
 	estimate(server: string): LoadEstimate {
 		const engine = this.#engines.get(server);
 		if (!engine) {
@@ -92,26 +95,26 @@
 		}
 
 		const own = {requests: 0, prefillTokens: 0, decodeTokens: 0};
-		const unseen = {requests: 0, prefillTokens: 0, decodeTokens: 0};
-		for (const flight of engine.flights.values()) {
-			addFlight(own, flight);
-			if (flight.sentMs > engine.reportMs - this.#reportLagMs) {
-				addFlight(unseen, flight);
+		const unreported = {requests: 0, prefillTokens: 0, decodeTokens: 0};
+		for (const request of engine.inFlight.values()) {
+			addToEstimate(own, request);
+			if (request.sentMs > engine.reportMs - this.#reportLagMs) {
+				addToEstimate(unreported, request);
 			}
 		}
 
 		const {report} = engine;
 		return {
-			requests: Math.max(own.requests, report.running + report.waiting + unseen.requests),
-			prefillTokens: Math.max(own.prefillTokens, report.prefillTokens + unseen.prefillTokens),
-			decodeTokens: Math.max(own.decodeTokens, report.decodeTokens + unseen.decodeTokens),
+			requests: Math.max(own.requests, report.running + report.waiting + unreported.requests),
+			prefillTokens: Math.max(own.prefillTokens, report.prefillTokens + unreported.prefillTokens),
+			decodeTokens: Math.max(own.decodeTokens, report.decodeTokens + unreported.decodeTokens),
 		};
 	}
 
-	#engineOf(server: string): EngineLoad {
+	#getEngine(server: string): EngineLoad {
 		let engine = this.#engines.get(server);
 		if (!engine) {
-			engine = {report: EMPTY_REPORT, reportMs: Number.NEGATIVE_INFINITY, flights: new Map()};
+			engine = {report: EMPTY_REPORT, reportMs: Number.NEGATIVE_INFINITY, inFlight: new Map()};
 			this.#engines.set(server, engine);
 		}
 
@@ -119,8 +122,8 @@
 	}
 }
 
-function addFlight(sum: {requests: number; prefillTokens: number; decodeTokens: number}, flight: Flight): void {
+function addToEstimate(sum: {requests: number; prefillTokens: number; decodeTokens: number}, request: InFlightRequest): void {
 	sum.requests++;
-	sum.prefillTokens += flight.hasFirstToken ? 0 : flight.size.prefillTokens;
-	sum.decodeTokens += flight.size.promptTokens + flight.size.outputTokens;
+	sum.prefillTokens += request.hasFirstToken ? 0 : request.size.prefillTokens;
+	sum.decodeTokens += request.size.promptTokens + request.size.outputTokens;
 }
--- a/src/serving/plaincall.ts
+++ b/src/serving/plaincall.ts
@@ -1,5 +1,6 @@
 /**
- * A request to a plain service: one answer, read whole before it goes on to the caller.
+ * A request to a plain service. The response is buffered completely before it is forwarded, so that a failed attempt can
+ * be retried.
  *
  * @module
  */
@@ -14,35 +15,35 @@
 import type {Exchange} from './upstream.js';
 
 type Outcome
-	= | {readonly type: 'answer'; readonly head: ResponseHead; readonly body: Buffer}
-		/** The server says that it did not run the request. */
-		| {readonly type: 'notRun'; readonly isOtherServer: boolean}
-		/** No byte left for the server. */
+	= | {readonly type: 'response'; readonly head: ResponseHead; readonly body: Buffer}
+		/** The server states that it did not execute the request. */
+		| {readonly type: 'notExecuted'; readonly isWrongServer: boolean}
+		/** No byte was sent to the server. */
 		| {readonly type: 'unsent'}
-		/** It may have run; no whole answer came. */
+		/** The server may have executed the request, but sent no complete response. */
 		| {readonly type: 'broken'}
-		/** Given up on for being silent, though it may have run. */
-		| {readonly type: 'silent'};
+		/** The server did not respond in time; it may have executed the request. */
+		| {readonly type: 'timedOut'};
 
-/** Backend servers that a request is tried at without a byte having left. */
-const MAX_UNSENT = 3;
-/** A repeatable request is tried elsewhere after this multiple of its objective without an answer. */
-const SILENCE_FACTOR = 2.5;
-/** How long callers wait after all servers had refused. */
-const FULL_RETRY_SECONDS = 0.3;
+/** Maximum number of attempts in which no byte was sent to a server. */
+const MAX_UNSENT_ATTEMPTS = 3;
+/** A repeatable request is retried at another server after this multiple of its objective without a response. */
+const RESPONSE_TIMEOUT_FACTOR = 2.5;
+/** Retry time for callers after all servers have refused, seconds. */
+const REFUSED_RETRY_SECONDS = 0.3;
 
-/** Runs one call to its end. */
+/** Runs one request, with retries, to its end. */
 export class PlainCall {
-	readonly #core: ServingContext;
+	readonly #context: ServingContext;
 	readonly #call: Call;
-	readonly #tried = new Set<string>();
-	#sent = 0;
-	#unsent = 0;
+	readonly #triedServers = new Set<string>();
+	#sentCount = 0;
+	#unsentCount = 0;
 	#mayHaveRun = false;
 	#exchange: Exchange | undefined;
 
-	constructor(core: ServingContext, call: Call) {
-		this.#core = core;
+	constructor(context: ServingContext, call: Call) {
+		this.#context = context;
 		this.#call = call;
 		call.caller.onEnd(() => {
 			this.#exchange?.cancel();
@@ -53,58 +54,61 @@
 		const {caller} = this.#call;
 		let last: Outcome | undefined;
 		while (!caller.isEnded) {
-			const server = this.#choose();
+			const server = this.#selectServer();
 			if (!server) {
-				this.#finish(last);
+				this.#endCall(last);
 				return;
 			}
 
 			last = await this.#attempt(server);
-			if (caller.isEnded || this.#settle(last)) {
+			if (caller.isEnded || this.#handleOutcome(last)) {
 				return;
 			}
 		}
 	}
 
-	/** Delivers an answer, or a failure that must not be repeated; false to try again. */
-	#settle(outcome: Outcome): boolean {
-		const isGood = outcome.type === 'answer' && !isServerFault(outcome.head);
-		if (!isGood && this.#mayTryAgain(outcome)) {
+	/** Ends the call with a response or a failure that must not be retried; returns false to retry. */
+	#handleOutcome(outcome: Outcome): boolean {
+		const isSuccess = outcome.type === 'response' && !isServerError(outcome.head);
+		if (!isSuccess && this.#mayRetry(outcome)) {
 			return false;
 		}
 
-		this.#finish(outcome);
+		this.#endCall(outcome);
 		return true;
 	}
 
-	#deliver(head: ResponseHead, body: Buffer): void {
-		this.#call.caller.respond(head.status, this.#core.protocol.buildResponseHeaders(head.headers), body, head.framing);
+	#respond(head: ResponseHead, body: Buffer): void {
+		this.#call.caller.respond(head.status, this.#context.protocol.buildResponseHeaders(head.headers), body, head.framing);
 	}
 
-	#mayTryAgain(outcome: Outcome): boolean {
-		const {route: rule} = this.#call;
-		if (outcome.type === 'unsent' || (outcome.type === 'notRun' && outcome.isOtherServer)) {
-			this.#unsent++;
-			return this.#unsent < MAX_UNSENT && !this.#isLate();
+	#mayRetry(outcome: Outcome): boolean {
+		const {route} = this.#call;
+		if (outcome.type === 'unsent' || (outcome.type === 'notExecuted' && outcome.isWrongServer)) {
+			this.#unsentCount++;
+			return this.#unsentCount < MAX_UNSENT_ATTEMPTS && !this.#isPastDeadline();
 		}
 
-		const isSafe = outcome.type === 'notRun' ? !this.#mayHaveRun : rule.kind === ROUTE_KINDS.repeatable;
-		return isSafe && this.#sent < rule.maxAttempts && !this.#isLate() && this.#hasOther() && tryAcquireRetry(this.#core, this.#call.service);
+		const isSafe = outcome.type === 'notExecuted' ? !this.#mayHaveRun : route.kind === ROUTE_KINDS.repeatable;
+		return isSafe && this.#sentCount < route.maxAttempts && !this.#isPastDeadline() && this.#hasOtherServer() && tryAcquireRetry(this.#context, this.#call.service);
 	}
 
-	#isLate(): boolean {
-		return this.#core.clock.monotonicMs() >= this.#call.deadlineMs;
+	#isPastDeadline(): boolean {
+		return this.#context.clock.monotonicMs() >= this.#call.deadlineMs;
 	}
 
-	#hasOther(): boolean {
-		return this.#choose() !== undefined;
+	#hasOtherServer(): boolean {
+		return this.#selectServer() !== undefined;
 	}
 
-	/** Ends the call with the last outcome: a whole answer as it is, otherwise what is true about it. */
-	#finish(outcome: Outcome | undefined): void {
+	/**
+	 * Ends the call with the last outcome: a complete response is forwarded, otherwise the caller learns whether the
+	 * request may have run.
+	 */
+	#endCall(outcome: Outcome | undefined): void {
 		const {caller} = this.#call;
-		if (outcome?.type === 'answer') {
-			this.#deliver(outcome.head, outcome.body);
+		if (outcome?.type === 'response') {
+			this.#respond(outcome.head, outcome.body);
 			return;
 		}
 
@@ -113,20 +117,20 @@
 			return;
 		}
 
-		caller.fail(outcome?.type === 'notRun' ? createProblem('notStarted', undefined, FULL_RETRY_SECONDS) : createNoServerProblem(this.#call));
+		caller.fail(outcome?.type === 'notExecuted' ? createProblem('notStarted', undefined, REFUSED_RETRY_SECONDS) : createNoServerProblem(this.#call));
 	}
 
-	/** The server with the least work for its size; the nearer one of two alike. */
-	#choose(): Announcement | undefined {
-		const {clock, health, listServers, loadTracker: loads, random, dataCentre} = this.#core;
+	/** Selects the server with the lowest load for its capacity; between equals, one in this data centre. */
+	#selectServer(): Announcement | undefined {
+		const {clock, health, listServers, loadTracker, random, dataCentre} = this.#context;
 		const nowMs = clock.monotonicMs();
-		const all = listServers().filter(server => server.services?.includes(this.#call.service) && !this.#tried.has(server.server));
-		const trusted = all.filter(server => !health.isSuspected(server.server, nowMs));
+		const all = listServers().filter(server => server.services?.includes(this.#call.service) && !this.#triedServers.has(server.server));
+		const healthy = all.filter(server => !health.isSuspected(server.server, nowMs));
 		let chosen: Announcement | undefined;
 		let lowest = Number.POSITIVE_INFINITY;
-		for (const server of trusted.length > 0 ? trusted : all) {
-			const load = loads.estimate(server.server).requests / (server.capacity ?? 1);
-			const score = load + (server.dataCentre === dataCentre ? 0 : NEARNESS) + (random() * NEARNESS);
+		for (const server of healthy.length > 0 ? healthy : all) {
+			const load = loadTracker.estimate(server.server).requests / (server.capacity ?? 1);
+			const score = load + (server.dataCentre === dataCentre ? 0 : LOCALITY_WEIGHT) + (random() * LOCALITY_WEIGHT);
 			if (score < lowest) {
 				lowest = score;
 				chosen = server;
@@ -137,33 +141,33 @@
 	}
 
 	async #attempt(server: Announcement): Promise<Outcome> {
-		const {loadTracker: loads, clock} = this.#core;
-		const {head, logFields: trail} = this.#call;
-		const flight = `${head.id} ${this.#tried.size}`;
-		this.#tried.add(server.server);
-		trail.servers.push(server.server);
-		loads.startRequest(server.server, flight, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
-		const outcome = await this.#exchangeWith(server);
-		loads.endRequest(server.server, flight);
+		const {loadTracker, clock} = this.#context;
+		const {head, logFields} = this.#call;
+		const attemptId = `${head.id} ${this.#triedServers.size}`;
+		this.#triedServers.add(server.server);
+		logFields.servers.push(server.server);
+		loadTracker.startRequest(server.server, attemptId, {prefillTokens: 0, outputTokens: 0, promptTokens: 0}, clock.monotonicMs());
+		const outcome = await this.#awaitOutcome(server);
+		loadTracker.endRequest(server.server, attemptId);
 		if (outcome.type !== 'unsent') {
-			this.#sent++;
+			this.#sentCount++;
 		}
 
-		this.#mayHaveRun ||= outcome.type === 'broken' || outcome.type === 'silent';
+		this.#mayHaveRun ||= outcome.type === 'broken' || outcome.type === 'timedOut';
 		return outcome;
 	}
 
-	async #exchangeWith(server: Announcement): Promise<Outcome> {
+	async #awaitOutcome(server: Announcement): Promise<Outcome> {
 		return new Promise(resolve => {
 			const settle = (outcome: Outcome) => {
 				clearTimeout(timer);
 				resolve(outcome);
 			};
 
-			const timer = this.#createSilenceTimer(() => {
-				this.#core.health.recordFailure(server.server, this.#core.clock.monotonicMs());
+			const timer = this.#startResponseTimer(() => {
+				this.#context.health.recordFailure(server.server, this.#context.clock.monotonicMs());
 				this.#exchange?.cancel();
-				settle({type: 'silent'});
+				settle({type: 'timedOut'});
 			});
 			this.#call.caller.onEnd(() => {
 				settle({type: 'broken'});
@@ -173,17 +177,17 @@
 	}
 
 	#send(server: Announcement, settle: (outcome: Outcome) => void): Exchange {
-		const core = this.#core;
+		const context = this.#context;
 		const chunks: Buffer[] = [];
 		let head: ResponseHead | undefined;
-		const deadlineMs = this.#call.deadlineMs - core.clock.monotonicMs();
-		return sendAttempt(core, this.#call, {server, phase: 'full', deadlineMs}, {
+		const deadlineMs = this.#call.deadlineMs - context.clock.monotonicMs();
+		return sendAttempt(context, this.#call, {server, phase: 'full', deadlineMs}, {
 			onHead: (status, headers) => {
-				head = core.protocol.parseResponse(status, headers);
-				this.#noteLoad(server, head);
+				head = context.protocol.parseResponse(status, headers);
+				this.#recordLoad(server, head);
 				const mismatch = findResponseMismatch(this.#call, head);
 				if (mismatch !== undefined) {
-					core.logger.warn(`Dropped an answer of ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
+					context.logger.warn(`Discarded a response from server ${server.server}: ${mismatch}.`, {request: this.#call.head.id, server: server.server});
 					this.#exchange?.cancel();
 					settle({type: 'broken'});
 				}
@@ -192,37 +196,40 @@
 				chunks.push(chunk);
 			},
 			onEnd() {
-				core.health.recordSuccess(server.server);
+				context.health.recordSuccess(server.server);
 				settle(head!.isNotExecuted || head!.isWrongServer
-					? {type: 'notRun', isOtherServer: head!.isWrongServer}
-					: {type: 'answer', head: head!, body: Buffer.concat(chunks)});
+					? {type: 'notExecuted', isWrongServer: head!.isWrongServer}
+					: {type: 'response', head: head!, body: Buffer.concat(chunks)});
 			},
 			onFailure(failure, error) {
-				recordAttemptFailure(core, server, failure, error);
+				recordAttemptFailure(context, server, failure, error);
 				settle({type: failure});
 			},
 		});
 	}
 
-	#noteLoad(server: Announcement, {load}: ResponseHead): void {
+	#recordLoad(server: Announcement, {load}: ResponseHead): void {
 		if (load) {
 			const {running, waiting} = load;
-			this.#core.loadTracker.recordReport(server.server, {
+			this.#context.loadTracker.recordReport(server.server, {
 				running, waiting, prefillTokens: 0, decodeTokens: 0,
-			}, this.#core.clock.monotonicMs());
+			}, this.#context.clock.monotonicMs());
 		}
 	}
 
-	#createSilenceTimer(onSilence: () => void): NodeJS.Timeout | undefined {
-		const {route: rule} = this.#call;
-		const mayGoElsewhere = rule.kind === ROUTE_KINDS.repeatable && this.#sent + 1 < rule.maxAttempts;
-		return mayGoElsewhere ? setTimeout(onSilence, rule.objectiveMs * SILENCE_FACTOR) : undefined;
+	#startResponseTimer(onTimeout: () => void): NodeJS.Timeout | undefined {
+		const {route} = this.#call;
+		const mayRetryElsewhere = route.kind === ROUTE_KINDS.repeatable && this.#sentCount + 1 < route.maxAttempts;
+		return mayRetryElsewhere ? setTimeout(onTimeout, route.objectiveMs * RESPONSE_TIMEOUT_FACTOR) : undefined;
 	}
 }
 
-/** Weight of standing in the same data centre against load; also spreads servers that look alike. */
-const NEARNESS = 0.02;
+/**
+ * Weight of the same data centre relative to load; also the range of the random term that spreads requests over equal
+ * servers.
+ */
+const LOCALITY_WEIGHT = 0.02;
 
-function isServerFault({status}: ResponseHead): boolean {
+function isServerError({status}: ResponseHead): boolean {
 	return status >= 500;
 }
--- a/test/handoff.test.ts
+++ b/test/handoff.test.ts
@@ -22,21 +22,21 @@
 	await fixture.stop();
 });
 
-test('a long prompt is computed at the prefill engine, and the decode engine goes on with its KV cache', async () => {
+test('a long prompt is prefilled at the prefill engine, and the decode engine continues from its KV cache', async () => {
 	const content = 'a long track about barley. '.repeat(400);
 	const answer = await streamCompletion(fixture.url, {model: 'summary-1', content});
 	assert.ok(answer.isComplete);
-	assert.equal(await importsOf(decode), 1);
-	assert.equal(await importsOf(prefill), 0);
+	assert.equal(await countImports(decode), 1);
+	assert.equal(await countImports(prefill), 0);
 });
 
-test('a short prompt goes straight to the decode engine', async () => {
+test('a short prompt is sent directly to the decode engine', async () => {
 	const answer = await streamCompletion(fixture.url, {model: 'chat-1', content: 'compare'});
 	assert.ok(answer.isComplete);
-	assert.equal(await importsOf(decode), 1);
+	assert.equal(await countImports(decode), 1);
 });
 
-test('an answer that would come too late is refused at once when the caller has said what late is', async () => {
+test('a request is rejected at once if its first token is expected later than the caller demands', async () => {
 	const response = await fetch(`${fixture.url}/v1/chat/completions`, {
 		method: 'POST',
 		headers: {'carawayhoist-first-token-ms': '1'},
@@ -48,7 +48,7 @@
 	assert.ok(Number(response.headers.get('retry-after')) >= 1);
 });
 
-test('an engine is given the role that the operators declared', async () => {
+test('an engine gets the role that the operators declare', async () => {
 	await fixture.put('engine', 'd1', {kind: 'engine', role: 'mixed'});
 	await waitUntil(async () => {
 		const {role} = await (await fetch(`${decode.url}/runs`)).json() as {role: string};
@@ -61,7 +61,7 @@
 	}, 'the declared role again');
 });
 
-test('with automatic roles the leader changes an engine\'s role when the mix has shifted, and says why', async () => {
+test('with automatic roles the leader changes an engine\'s role when the demand shifts, and records the reason', async () => {
 	await fixture.add(entries => new FakeEngine({
 		name: 'd2', entries, role: 'decode', announceIntervalMs: 50, stepMs: 2, orderDurationMs: 50,
 	}));
@@ -69,7 +69,7 @@
 		kind: 'policy', profile: 'tallgrass', automaticRoles: true, changeWeight: 0,
 	});
 	let count = 0;
-	const load = setInterval(() => {
+	const requestTimer = setInterval(() => {
 		count++;
 		void streamCompletion(fixture.url, {model: 'summary-1', content: `${count} ${'a long track about oats. '.repeat(4000)}`}).catch(() => undefined);
 	}, 40);
@@ -77,15 +77,15 @@
 		const {resources} = await (await fetch(`${fixture.url}/api/v1/resources/change`)).json() as {resources: Array<{name: string; status: {phase: string}}>};
 		return resources.some(({name, status}) => name.startsWith('auto-') && status.phase === 'done');
 	}, 'an automatic role change', 30_000);
-	clearInterval(load);
+	clearInterval(requestTimer);
 	const {resources} = await (await fetch(`${fixture.url}/api/v1/resources/change`)).json() as {resources: Array<{name: string; specification: {role: string}}>};
 	const automatic = resources.find(({name}) => name.startsWith('auto-'))!;
 	assert.equal(automatic.specification.role, 'prefill');
-	const story = await (await fetch(`${fixture.url}/api/v1/explain/${automatic.name}`)).json() as {steps: Array<{text: string}>};
-	assert.match(story.steps[0]!.text, /because prefill needs/v);
+	const explanation = await (await fetch(`${fixture.url}/api/v1/explain/${automatic.name}`)).json() as {steps: Array<{text: string}>};
+	assert.match(explanation.steps[0]!.text, /because prefill needs/v);
 });
 
-async function importsOf(engine: FakeEngine): Promise<number> {
+async function countImports(engine: FakeEngine): Promise<number> {
 	const {imported} = await (await fetch(`${engine.url}/runs`)).json() as {imported: number};
 	return imported;
 }
