--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -1,19 +1,22 @@
 /**
- * Time. Tasks read it here and hand it to the cores as a number.
+ * Access to the current time.
+ *
+ * Only code that does I/O reads the clock; state machines get the current time as an argument, so that tests and the
+ * fuzzer control it.
  *
  * @module
  */
 import {performance} from 'node:perf_hooks';
 
 export interface Clock {
-	/** Monotonic time of this process, milliseconds. */
+	/** Monotonic time since the process started, in milliseconds. */
 	monotonicMs(): number;
-	/** Wall clock, milliseconds since 1970. */
+	/** Wall-clock time, in milliseconds since the Unix epoch. */
 	wallMs(): number;
 }
 
 /**
- * Creates the clock of the machine.
+ * Creates a clock that reads the system time.
  *
  * @example
  * ```ts
@@ -29,11 +32,11 @@
 }
 
 /**
- * Waits; for tasks only, a core is handed the time.
+ * Waits without blocking. Not for state machines: they never wait.
  *
  * @example
  * ```ts
- * await pause(50);
+ * await sleep(50);
  * ```
  */
 export async function sleep(durationMs: number): Promise<void> {
--- a/src/base/logger.ts
+++ b/src/base/logger.ts
@@ -1,12 +1,12 @@
 /**
- * Structured logs: a short sentence behind the fixed prefix of its part, and typed fields.
+ * Structured logging: each line is a JSON object with a message, prefixed by the component, and fields.
  *
  * @module
  */
 import {performance} from 'node:perf_hooks';
 import {pino} from 'pino';
 
-/** The parts of the system; each has a fixed prefix. */
+/** Components that write logs. The name is the prefix of every message of the component. */
 export const COMPONENTS = {
 	daemon: 'daemon',
 	consensus: 'consensus',
@@ -21,52 +21,54 @@
 export type LogFields = Readonly<Record<string, unknown>>;
 
 export interface Logger {
-	debug(sentence: string, fields?: LogFields): void;
-	info(sentence: string, fields?: LogFields): void;
-	warn(sentence: string, fields?: LogFields): void;
-	error(sentence: string, fields?: LogFields): void;
+	debug(message: string, fields?: LogFields): void;
+	info(message: string, fields?: LogFields): void;
+	warn(message: string, fields?: LogFields): void;
+	error(message: string, fields?: LogFields): void;
 }
 
-/** Creates the logger of one part. */
-export type LoggerFactory = (part: Component) => Logger;
+/** Returns the logger of one component. */
+export type LoggerFactory = (component: Component) => Logger;
 
 /**
- * Creates a factory of loggers that write JSON lines to standard output.
+ * Creates a logger factory that writes JSON lines to standard output.
+ *
+ * @param base - Fields that every line has.
  *
  * @example
  * ```ts
  * const log = createLoggers('info', {host: 'a1'})('routing');
- * log.info('Sent to engine e3.', {request: 'r1', reason: 'shortest'}); // "routing: Sent to engine e3."
+ * log.info('Sent to engine e3.', {request: 'r1', reason: 'shortest'}); // {…, "msg": "routing: Sent to engine e3."}
  * ```
  */
 export function createLoggers(level: LogLevel, base: LogFields): LoggerFactory {
 	const destination = pino.destination({fd: 1, sync: false});
 	const root = pino({level, base: {...base}, timestamp: pino.stdTimeFunctions.isoTime}, destination);
-	return part => {
-		const prefix = `${COMPONENTS[part]}: `;
+	return component => {
+		const prefix = `${COMPONENTS[component]}: `;
 		return {
-			debug(sentence, fields = {}) {
-				root.debug(fields, prefix + sentence);
+			debug(message, fields = {}) {
+				root.debug(fields, prefix + message);
 			},
-			info(sentence, fields = {}) {
-				root.info(fields, prefix + sentence);
+			info(message, fields = {}) {
+				root.info(fields, prefix + message);
 			},
-			warn(sentence, fields = {}) {
-				root.warn(fields, prefix + sentence);
+			warn(message, fields = {}) {
+				root.warn(fields, prefix + message);
 			},
-			error(sentence, fields = {}) {
-				root.error(fields, prefix + sentence);
+			error(message, fields = {}) {
+				root.error(fields, prefix + message);
 			},
 		};
 	};
 }
 
 /**
- * Creates loggers that write nothing, for tests and benches.
+ * Creates a logger factory that discards all lines, for tests and benchmarks.
  *
  * @example
  * ```ts
- * createSilentLoggers()('entry').info('Nobody reads this.');
+ * createSilentLoggers()('entry').info('This line is discarded.');
  * ```
  */
 export function createSilentLoggers(): LoggerFactory {
@@ -77,33 +79,37 @@
 	return () => logger;
 }
 
-/** Lines a second that one process writes in the long run, and at once. */
+/** Sustained rate of log lines of one process. */
 export const LOG_LINES_PER_SECOND = 60;
+/** Log lines that one process may write in a burst. */
 export const LOG_BURST_LINES = 300;
-const COUNT_INTERVAL_MS = 5000;
+/** Shortest interval between two reports of dropped lines, in milliseconds. */
+const DROP_REPORT_INTERVAL_MS = 5000;
 
 /**
- * Creates loggers whose volume is bounded: lines over the bound are counted and the count is logged.
+ * Creates a logger factory that limits the rate of lines with a token bucket shared by all components.
+ *
+ * Lines over the limit are dropped. Their number is logged at most every 5 s, when a component logs again.
  *
- * @param onDropped - Called for each line that is left out.
+ * @param onDropped - Called for each dropped line.
  * @example
  * ```ts
- * const loggers = createBoundedLoggers('info', {host: 'a1'}, () => metrics.dropped.inc());
+ * const loggers = createRateLimitedLoggers('info', {host: 'a1'}, () => metrics.dropped.inc());
  * ```
  */
 export function createRateLimitedLoggers(level: LogLevel, base: LogFields, onDropped: () => void): LoggerFactory {
 	const loggers = createLoggers(level, base);
 	let tokens = LOG_BURST_LINES;
-	let atMs = performance.now();
+	let refilledMs = performance.now();
 	let dropped = 0;
-	let countedMs = atMs;
+	let reportedMs = refilledMs;
 	const mayWrite = () => {
 		const nowMs = performance.now();
-		tokens = Math.min(LOG_BURST_LINES, tokens + ((nowMs - atMs) * LOG_LINES_PER_SECOND / 1000));
-		atMs = nowMs;
-		if (dropped > 0 && nowMs - countedMs > COUNT_INTERVAL_MS) {
-			loggers('daemon').warn(`Left out ${dropped} log lines.`, {dropped});
-			countedMs = nowMs;
+		tokens = Math.min(LOG_BURST_LINES, tokens + ((nowMs - refilledMs) * LOG_LINES_PER_SECOND / 1000));
+		refilledMs = nowMs;
+		if (dropped > 0 && nowMs - reportedMs > DROP_REPORT_INTERVAL_MS) {
+			loggers('daemon').warn(`Rate limit exceeded: dropped ${dropped} log lines.`, {dropped});
+			reportedMs = nowMs;
 			dropped = 0;
 		}
 
@@ -117,16 +123,16 @@
 		return true;
 	};
 
-	return part => {
-		const logger = loggers(part);
-		const bound = (write: Logger['info']): Logger['info'] => (sentence, fields) => {
+	return component => {
+		const logger = loggers(component);
+		const limit = (write: Logger['info']): Logger['info'] => (message, fields) => {
 			if (mayWrite()) {
-				write(sentence, fields);
+				write(message, fields);
 			}
 		};
 
 		return {
-			debug: bound(logger.debug), info: bound(logger.info), warn: bound(logger.warn), error: bound(logger.error),
+			debug: limit(logger.debug), info: limit(logger.info), warn: limit(logger.warn), error: limit(logger.error),
 		};
 	};
 }
--- a/src/base/problem.ts
+++ b/src/base/problem.ts
@@ -1,5 +1,5 @@
 /**
- * Numbered problems: the one error type that crosses module borders.
+ * Numbered errors. `Problem` is the only error type that functions of one module return to another.
  *
  * @module
  */
@@ -7,14 +7,14 @@
 
 export type ProblemName = keyof typeof CODES;
 
-/** What a problem says about the work: whether it ran. */
+/** Whether the requested work ran: `not-run`, `failed` or `unknown`. */
 export type ProblemOutcome = (typeof CODES)[ProblemName]['says'];
 
 export type Problem = {
 	readonly type: 'problem';
 	readonly name: ProblemName;
 	readonly code: number;
-	/** HTTP status towards callers and operators; 0 for problems of a process. */
+	/** HTTP status sent to callers and operators; 0 for problems that never leave the process. */
 	readonly status: number;
 	readonly outcome: ProblemOutcome;
 	readonly text: string;
@@ -22,11 +22,11 @@
 };
 
 /**
- * Creates a problem from the table in `docs/ERRORS.md`.
+ * Creates a problem from the error table (`schema/errors.json`, documented in `docs/ERRORS.md`).
  *
- * @param name - The row of the table.
- * @param detail - What happened here; added to the row's text.
- * @param retryAfterSeconds - When coming back makes sense, seconds.
+ * @param name - Name of the row in the table.
+ * @param detail - What failed in this case; appended to the text of the row.
+ * @param retryAfterSeconds - Delay after which a retry may succeed, in seconds.
  * @example
  * ```ts
  * createProblem('noQuorum', 'two of three control hosts do not answer', 1).code; // 4003
@@ -41,7 +41,7 @@
 }
 
 /**
- * Finds a problem's name by its number, for problems that arrive from another process.
+ * Returns the name of a numeric code that was received from another process, or `internal` if the code is unknown.
  *
  * @example
  * ```ts
--- a/src/base/random.ts
+++ b/src/base/random.ts
@@ -1,5 +1,5 @@
 /**
- * Sources of random numbers. Cores take one as an argument, so that a seed decides everything.
+ * Random numbers. State machines take the generator as an argument, so that a seed reproduces a whole run.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 /** Returns a number from 0 (included) to 1 (excluded). */
 export type Random = () => number;
 
-/* eslint-disable no-bitwise, operator-assignment -- mulberry32 is defined on bits */
+/* eslint-disable no-bitwise, operator-assignment -- mulberry32 is defined with bitwise operations */
 /**
- * Creates a seeded source (mulberry32).
+ * Creates a seeded pseudorandom number generator (mulberry32).
  *
  * @example
  * ```ts
@@ -30,7 +30,7 @@
 /* eslint-enable no-bitwise, operator-assignment */
 
 /**
- * Picks one element, or nothing from an empty list.
+ * Returns a random element, or `undefined` if the list is empty.
  *
  * @example
  * ```ts
@@ -42,7 +42,7 @@
 }
 
 /**
- * Returns the elements in random order; the list given stays as it is.
+ * Returns a copy of the list in random order (Fisher–Yates).
  *
  * @example
  * ```ts
--- a/src/base/validate.ts
+++ b/src/base/validate.ts
@@ -1,5 +1,5 @@
 /**
- * Checks values against the generated schemas.
+ * Validates values against the JSON schemas in `schema/`, with the validators that `dev/generate.ts` compiles from them.
  *
  * @module
  */
@@ -13,14 +13,16 @@
 	Announcement, PlatformSettings, Message, Settings, Specification,
 } from '../generated/types.js';
 
-/** A fault in a value: where it stands and what would be allowed. */
+/** One violation of a schema. */
 export type ValidationError = {
-	/** JSON pointer. */
+	/** JSON pointer to the invalid, missing or unknown field. */
 	readonly pointer: string;
+	/** What is wrong, or which values are allowed; reads on from the pointer. */
 	readonly text: string;
 };
 
-type Checkable = {
+/** Types that can be validated, by the name of their schema. */
+type ValidatedTypes = {
 	readonly Settings: Settings;
 	readonly Specification: Specification;
 	readonly Announcement: Announcement;
@@ -28,47 +30,48 @@
 	readonly PlatformSettings: PlatformSettings;
 };
 
-const CHECKERS = {
+const VALIDATORS = {
 	Settings: checkSettings, Specification: checkSpecification, Announcement: checkAnnouncement, Message: checkMessage, PlatformSettings: checkPlatformSettings,
-} as unknown as Record<keyof Checkable, ValidateFunction>;
+} as unknown as Record<keyof ValidatedTypes, ValidateFunction>;
 
 /**
- * Checks a value of unknown shape and fills in defaults.
+ * Validates a value. Fills in the defaults of its schema and returns every violation, except for messages: they have no
+ * defaults, and validation stops at the first violation to keep valid messages cheap.
  *
- * @param name - The schema's name.
+ * @param name - Name of the schema.
  * @example
  * ```ts
  * validate('Announcement', {server: 'a'}); // Either.left([{pointer: '/kind', text: 'is required'}, …])
  * ```
  */
-export function validate<Name extends keyof Checkable>(name: Name, value: unknown): Either.Either<ValidationError[], Checkable[Name]> {
-	const checker = CHECKERS[name];
-	return checker(value)
-		? Either.right(value as Checkable[Name])
-		: Either.left((checker.errors ?? []).map(error => describeFault(error)));
+export function validate<Name extends keyof ValidatedTypes>(name: Name, value: unknown): Either.Either<ValidationError[], ValidatedTypes[Name]> {
+	const validator = VALIDATORS[name];
+	return validator(value)
+		? Either.right(value as ValidatedTypes[Name])
+		: Either.left((validator.errors ?? []).map(error => describeError(error)));
 }
 
 /**
- * Writes faults as one line.
+ * Formats validation errors as one line.
  *
  * @example
  * ```ts
- * formatFaults([{pointer: '/host', text: 'is required'}]); // '/host is required'
+ * formatValidationErrors([{pointer: '/host', text: 'is required'}]); // '/host is required'
  * ```
  */
-export function formatValidationErrors(faults: readonly ValidationError[]): string {
-	return faults.map(fault => `${fault.pointer} ${fault.text}`).join('; ');
+export function formatValidationErrors(errors: readonly ValidationError[]): string {
+	return errors.map(error => `${error.pointer} ${error.text}`).join('; ');
 }
 
-function describeFault(error: ErrorObject): ValidationError {
+function describeError(error: ErrorObject): ValidationError {
 	const parameters = error.params as {
 		missingProperty?: string;
 		additionalProperty?: string;
 		allowedValues?: unknown[];
 		allowedValue?: unknown;
 	};
-	const own = parameters.missingProperty ?? parameters.additionalProperty;
-	const pointer = own === undefined ? error.instancePath : `${error.instancePath}/${own}`;
+	const property = parameters.missingProperty ?? parameters.additionalProperty;
+	const pointer = property === undefined ? error.instancePath : `${error.instancePath}/${property}`;
 	if (parameters.missingProperty !== undefined) {
 		return {pointer, text: 'is required'};
 	}
--- a/src/base/version.ts
+++ b/src/base/version.ts
@@ -1,5 +1,5 @@
 /**
- * The version of the programs.
+ * Version of the programs, as `--version` prints it.
  *
  * @module
  */
--- a/src/wire/connection.ts
+++ b/src/wire/connection.ts
@@ -1,5 +1,5 @@
 /**
- * Connections between the system's processes.
+ * TCP connections that carry messages between the processes of this system.
  *
  * @module
  */
@@ -19,17 +19,17 @@
 const CONNECT_TIMEOUT_MS = 1000;
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024;
 
-/** One connection; whoever created it closes it. */
+/** A connection to another process. The creator must close it. */
 export class Connection {
 	readonly #socket: net.Socket;
 	readonly #closeHandlers: Array<() => void> = [];
 
 	constructor(socket: net.Socket, onMessage: MessageHandler) {
 		this.#socket = socket;
-		const reader = new FrameDecoder();
+		const decoder = new FrameDecoder();
 		socket.setNoDelay(true);
 		socket.on('data', bytes => {
-			const messages = reader.push(bytes);
+			const messages = decoder.push(bytes);
 			if (Either.isLeft(messages)) {
 				socket.destroy();
 				return;
@@ -51,12 +51,12 @@
 		return !this.#socket.destroyed;
 	}
 
-	/** Bytes that wait for the peer to read, as far as this process holds them. */
+	/** Bytes written but not yet handed to the operating system. */
 	get bufferedBytes(): number {
 		return this.#socket.writableLength;
 	}
 
-	/** Sends a message; a connection whose peer does not read is closed rather than buffered without bound. */
+	/** Sends a message. Closes the connection if more than 64 MiB are buffered because the peer does not read. */
 	send(message: Message): void {
 		if (!this.isOpen) {
 			return;
@@ -80,7 +80,7 @@
 }
 
 /**
- * Connects to another process.
+ * Connects to another process. Messages can be sent at once; they are buffered until the connection is established.
  *
  * @example
  * ```ts
@@ -99,7 +99,7 @@
 	return new Connection(socket, onMessage);
 }
 
-/** Accepts connections; closing it closes those that it accepted. */
+/** Accepts connections. Closing the listener also closes the connections that it accepted. */
 export class Listener {
 	readonly #server: net.Server;
 	readonly #connections = new Set<Connection>();
@@ -112,7 +112,7 @@
 		});
 	}
 
-	/** Listens and returns the port taken. */
+	/** Starts listening and returns the port, which the operating system chooses if `target.port` is 0. */
 	async listen(target: Address): Promise<Either.Either<Problem, number>> {
 		return new Promise(resolve => {
 			this.#server.once('error', error => {
@@ -132,7 +132,7 @@
 	}
 }
 
-/** Keeps one connection to each target and opens it anew when it is gone. */
+/** Keeps one connection per target and reconnects when the next message is sent after a connection closed. */
 export class ConnectionPool {
 	readonly #connections = new Map<string, Connection>();
 	readonly #onMessage: MessageHandler;
@@ -152,7 +152,7 @@
 		connection.send(message);
 	}
 
-	/** Drops a connection that may have gone silent, so that the next message opens a new one. */
+	/** Closes the connection to a target that no longer replies, so that the next message opens a new one. */
 	reset(target: Address): void {
 		const key = `${target.address}:${target.port}`;
 		this.#connections.get(key)?.close();
--- a/src/wire/frame.ts
+++ b/src/wire/frame.ts
@@ -1,5 +1,5 @@
 /**
- * Frames on a TCP connection between the system's processes: four bytes of length, then CBOR.
+ * Framing of messages on a TCP connection: a 4-byte big-endian length prefix, then a CBOR body.
  *
  * @module
  */
@@ -20,7 +20,7 @@
  *
  * @example
  * ```ts
- * decodeValue(encodeValue({a: 1})); // {a: 1}
+ * decodeCbor(encodeCbor({a: 1})); // {a: 1}
  * ```
  */
 export function encodeCbor(value: unknown): Uint8Array {
@@ -28,11 +28,11 @@
 }
 
 /**
- * Decodes a CBOR value; the caller vouches for its shape.
+ * Decodes a CBOR value. The result is not validated.
  *
  * @example
  * ```ts
- * decodeValue(encodeValue([1, 2])); // [1, 2]
+ * decodeCbor(encodeCbor([1, 2])); // [1, 2]
  * ```
  */
 export function decodeCbor(bytes: Uint8Array): unknown {
@@ -40,7 +40,7 @@
 }
 
 /**
- * Encodes a message as one frame.
+ * Encodes a message as one frame, including the length prefix.
  *
  * @example
  * ```ts
@@ -55,39 +55,40 @@
 	return frame;
 }
 
-/** Collects bytes into messages. */
+/** Decodes the frames in a stream of bytes. */
 export class FrameDecoder {
 	#chunks: Uint8Array[] = [];
-	#length = 0;
+	#bufferedBytes = 0;
 
 	/**
-	 * Adds bytes and returns the messages that became whole; a left side means the connection must be closed.
+	 * Adds received bytes and returns the messages that are now complete. After an error the stream is out of sync, and the
+	 * connection must be closed.
 	 *
 	 * @example
 	 * ```ts
-	 * const reader = new FrameReader();
-	 * reader.add(encodeFrame({type: 'hello', id: 1})); // Either.right([{type: 'hello', id: 1}])
+	 * const decoder = new FrameDecoder();
+	 * decoder.push(encodeFrame({type: 'hello', id: 1})); // Either.right([{type: 'hello', id: 1}])
 	 * ```
 	 */
 	push(bytes: Uint8Array): Either.Either<Problem, Message[]> {
 		this.#chunks.push(bytes);
-		this.#length += bytes.length;
+		this.#bufferedBytes += bytes.length;
 		const messages: Message[] = [];
 		for (;;) {
-			const size = this.#frameSize();
-			if (size === undefined) {
+			const bodyLength = this.#readBodyLength();
+			if (bodyLength === undefined) {
 				return Either.right(messages);
 			}
 
-			if (size > MAX_FRAME_BYTES) {
-				return Either.left(createProblem('badRequest', `Frame of ${size} bytes.`));
+			if (bodyLength > MAX_FRAME_BYTES) {
+				return Either.left(createProblem('badRequest', `Frame of ${bodyLength} bytes.`));
 			}
 
-			if (this.#length < size + LENGTH_PREFIX_BYTES) {
+			if (this.#bufferedBytes < bodyLength + LENGTH_PREFIX_BYTES) {
 				return Either.right(messages);
 			}
 
-			const message = parseMessage(this.#take(size + LENGTH_PREFIX_BYTES).subarray(LENGTH_PREFIX_BYTES));
+			const message = decodeMessage(this.#consume(bodyLength + LENGTH_PREFIX_BYTES).subarray(LENGTH_PREFIX_BYTES));
 			if (Either.isLeft(message)) {
 				return message;
 			}
@@ -96,8 +97,8 @@
 		}
 	}
 
-	#frameSize(): number | undefined {
-		if (this.#length < LENGTH_PREFIX_BYTES) {
+	#readBodyLength(): number | undefined {
+		if (this.#bufferedBytes < LENGTH_PREFIX_BYTES) {
 			return undefined;
 		}
 
@@ -105,20 +106,20 @@
 			this.#chunks = [Buffer.concat(this.#chunks)];
 		}
 
-		const head = this.#chunks[0]!;
-		return new DataView(head.buffer, head.byteOffset, LENGTH_PREFIX_BYTES).getUint32(0);
+		const first = this.#chunks[0]!;
+		return new DataView(first.buffer, first.byteOffset, LENGTH_PREFIX_BYTES).getUint32(0);
 	}
 
-	#take(size: number): Uint8Array {
-		const whole = this.#chunks.length === 1 ? this.#chunks[0]! : Buffer.concat(this.#chunks);
-		const rest = whole.subarray(size);
+	#consume(size: number): Uint8Array {
+		const buffered = this.#chunks.length === 1 ? this.#chunks[0]! : Buffer.concat(this.#chunks);
+		const rest = buffered.subarray(size);
 		this.#chunks = rest.length > 0 ? [rest] : [];
-		this.#length = rest.length;
-		return whole.subarray(0, size);
+		this.#bufferedBytes = rest.length;
+		return buffered.subarray(0, size);
 	}
 }
 
-function parseMessage(bytes: Uint8Array): Either.Either<Problem, Message> {
+function decodeMessage(bytes: Uint8Array): Either.Either<Problem, Message> {
 	const decoded = Either.tryCatch(() => decodeCbor(bytes), () => createProblem('badRequest', 'Not CBOR.'));
 	if (Either.isLeft(decoded)) {
 		return decoded;
