--- a/src/tool/client.ts
+++ b/src/tool/client.ts
@@ -1,5 +1,5 @@
 /**
- * The tool's side of the operators' API.
+ * HTTP client of the operator API (`/api/v1/`).
  *
  * @module
  */
@@ -8,22 +8,24 @@
 import {createProblem, findProblemName, type Problem} from '../base/problem.js';
 
 export type ApiClientOptions = {
-	/** Addresses of entry hosts, such as `http://10.0.0.4:8080`; the next is asked when one does not answer. */
+	/** Base URLs of entry hosts, such as `http://10.0.0.4:8080`. If one does not respond, the next one is tried. */
 	readonly hosts: readonly string[];
+	/** Operator key, sent as a bearer token. */
 	readonly key?: string;
 };
 
 export type ApiRequest = {
 	readonly method: 'GET' | 'PUT' | 'POST' | 'DELETE';
+	/** Path below `/api/v1/`. */
 	readonly path: string;
 	readonly body?: unknown;
-	/** The same for every resend of one intent. */
+	/** Idempotency key: every attempt at the same change must send the same value. */
 	readonly requestId?: string;
 };
 
 const TIMEOUT_MS = 8000;
 
-/** Calls the operators' API through any entry host. Whoever created it closes it. */
+/** Sends requests to the operator API through the first entry host that responds. The creator must close the client. */
 export class ApiClient {
 	readonly #options: ApiClientOptions;
 	readonly #agent = new Agent({headersTimeout: TIMEOUT_MS, bodyTimeout: 0, connect: {timeout: 2000}});
@@ -33,28 +35,28 @@
 	}
 
 	/**
-	 * Calls and returns the decoded answer.
+	 * Sends a request and returns the decoded JSON body of the response.
 	 *
 	 * @example
 	 * ```ts
-	 * const answer = await api.call<{version: number}>({method: 'GET', path: 'resources'});
+	 * const result = await client.request<{version: number}>({method: 'GET', path: 'resources'});
 	 * ```
 	 */
-	async request<Answer>(call: ApiRequest): Promise<Either.Either<Problem, Answer>> {
-		let last = createProblem('noServer', 'No entry host answers.');
+	async request<Body>(apiRequest: ApiRequest): Promise<Either.Either<Problem, Body>> {
+		let lastProblem = createProblem('noServer', 'No entry host answers.');
 		for (const host of this.#options.hosts) {
-			const answer = await this.#callHost<Answer>(host, call);
-			if (answer !== undefined) {
-				return answer;
+			const result = await this.#requestFrom<Body>(host, apiRequest);
+			if (result !== undefined) {
+				return result;
 			}
 
-			last = createProblem('noServer', `${host} does not answer.`);
+			lastProblem = createProblem('noServer', `${host} does not answer.`);
 		}
 
-		return Either.left(last);
+		return Either.left(lastProblem);
 	}
 
-	/** Calls and hands each line of the answer on until it ends; false if no host answered. */
+	/** Passes each line of a streamed response to `onLine` until the stream ends. Returns false if it broke off at every host. */
 	async streamLines(path: string, onLine: (line: string) => void): Promise<boolean> {
 		for (const host of this.#options.hosts) {
 			try {
@@ -81,20 +83,20 @@
 		await this.#agent.destroy();
 	}
 
-	async #callHost<Answer>(host: string, call: ApiRequest): Promise<Either.Either<Problem, Answer> | undefined> {
+	async #requestFrom<Body>(host: string, apiRequest: ApiRequest): Promise<Either.Either<Problem, Body> | undefined> {
 		try {
-			const {statusCode, body} = await request(`${host}/api/v1/${call.path}`, {
+			const {statusCode, body} = await request(`${host}/api/v1/${apiRequest.path}`, {
 				dispatcher: this.#agent,
-				method: call.method,
-				headers: {...this.#headers(), ...(call.requestId === undefined ? {} : {'idempotency-key': call.requestId})},
-				body: call.body === undefined ? undefined : JSON.stringify(call.body),
+				method: apiRequest.method,
+				headers: {...this.#headers(), ...(apiRequest.requestId === undefined ? {} : {'idempotency-key': apiRequest.requestId})},
+				body: apiRequest.body === undefined ? undefined : JSON.stringify(apiRequest.body),
 			});
-			const answer = await body.json() as Answer & {error?: {code: number; message: string}};
+			const decoded = await body.json() as Body & {error?: {code: number; message: string}};
 			if (statusCode < 400) {
-				return Either.right(answer);
+				return Either.right(decoded);
 			}
 
-			const {code = 9001, message = ''} = answer.error ?? {};
+			const {code = 9001, message = ''} = decoded.error ?? {};
 			return Either.left({...createProblem(findProblemName(code)), text: message});
 		} catch {
 			return undefined;
--- a/src/tool/explanation.ts
+++ b/src/tool/explanation.ts
@@ -1,33 +1,36 @@
 /**
- * Tells what happened as a plain story.
+ * Formats the answer of `carawayhoist explain`: what happened to one request or planned change.
  *
  * @module
  */
+
+/** What happened to a request or a planned change, as the operator API returns it. */
 export type Explanation = {
+	/** Id of the request or name of the change. */
 	readonly subject: string;
 	readonly title: string;
 	readonly outcome: string;
-	/** Wall clock, milliseconds. */
+	/** Wall-clock time, in milliseconds since the Unix epoch. */
 	readonly startedAt: number;
 	readonly steps: ReadonlyArray<{readonly at: number; readonly text: string}>;
 };
 
 /**
- * Writes a story with the time since its beginning before each sentence.
+ * Formats an explanation as a timeline: each step with the time since the start.
  *
  * @example
  * ```ts
- * formatStory({subject: 'r1', title: 'A request', outcome: 'done', startedAt: 0, steps: [{at: 40, text: 'Sent.'}]});
+ * formatExplanation({subject: 'r1', title: 'A request', outcome: 'done', startedAt: 0, steps: [{at: 40, text: 'Sent.'}]});
  * ```
  */
-export function formatExplanation(story: Explanation): string {
-	const lines = [`${story.title} (${story.subject})`, `It began on ${new Date(story.startedAt).toISOString()}.`];
-	for (const {at, text} of story.steps) {
-		lines.push(`  after ${formatDuration(at - story.startedAt)}: ${text}`);
+export function formatExplanation(explanation: Explanation): string {
+	const lines = [`${explanation.title} (${explanation.subject})`, `It began on ${new Date(explanation.startedAt).toISOString()}.`];
+	for (const {at, text} of explanation.steps) {
+		lines.push(`  after ${formatDuration(at - explanation.startedAt)}: ${text}`);
 	}
 
-	if (story.steps.at(-1)?.text !== story.outcome) {
-		lines.push(`Now: ${story.outcome}.`);
+	if (explanation.steps.at(-1)?.text !== explanation.outcome) {
+		lines.push(`Now: ${explanation.outcome}.`);
 	}
 
 	return `${lines.join('\n')}\n`;
--- a/src/tool/table.ts
+++ b/src/tool/table.ts
@@ -1,19 +1,19 @@
 /**
- * Tables for people.
+ * Plain-text tables for terminal output.
  *
  * @module
  */
 
 /**
- * Lays rows out in columns.
+ * Formats rows as left-aligned columns below a header line.
  *
  * @example
  * ```ts
  * formatTable(['NAME', 'VERSION'], [['chat-1', '12']]); // 'NAME    VERSION\nchat-1  12\n'
  * ```
  */
-export function formatTable(heads: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
-	const widths = heads.map((head, column) => Math.max(head.length, ...rows.map(row => (row[column] ?? '').length)));
-	const lines = [heads, ...rows].map(row => row.map((cell, column) => cell.padEnd(widths[column] ?? 0)).join('  ').trimEnd());
+export function formatTable(headers: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
+	const widths = headers.map((header, column) => Math.max(header.length, ...rows.map(row => (row[column] ?? '').length)));
+	const lines = [headers, ...rows].map(row => row.map((cell, column) => cell.padEnd(widths[column] ?? 0)).join('  ').trimEnd());
 	return `${lines.join('\n')}\n`;
 }
