--- a/fakes/backend.ts
+++ b/fakes/backend.ts
@@ -1,5 +1,5 @@
 /**
- * What fake backend servers share: HTTP, announcements, counting.
+ * Base class of the fake backend servers: an HTTP server that announces itself to entry hosts.
  *
  * @module
  */
@@ -12,19 +12,19 @@
 	readonly name: string;
 	readonly port?: number;
 	readonly dataCentre?: string;
-	/** Entry hosts, such as `http://127.0.0.1:8080`; announcements go to each in turn, as through a balancer. */
+	/** Base URLs of entry hosts, such as `http://127.0.0.1:8080`. Announcements go to them in turn, as through a load balancer. */
 	readonly entries: readonly string[];
 	readonly announceIntervalMs?: number;
-	/** Port to announce instead of the own one: that of something between the two ends. */
+	/** Port to announce instead of the port listened on, for tests that put a proxy in front of the server. */
 	readonly announcedPort?: number;
-	/** Rises with each start. */
+	/** Must increase with each start of a server of the same name; defaults to the current time. */
 	readonly incarnation?: number;
 };
 
-const ANNOUNCE_EVERY_MS = 300;
+const DEFAULT_ANNOUNCE_INTERVAL_MS = 300;
 const ANNOUNCE_TIMEOUT_MS = 1000;
 
-/** A fake backend server. Whoever started it stops it. */
+/** A fake backend server. Whoever starts it must stop it. */
 export abstract class FakeBackend {
 	readonly options: FakeBackendOptions;
 	readonly #server: http.Server;
@@ -38,7 +38,7 @@
 		this.options = options;
 		this.#incarnation = options.incarnation ?? Date.now();
 		this.#server = http.createServer((request, response) => {
-			void this.#serve(request, response);
+			void this.#readAndHandle(request, response);
 		});
 		this.#server.keepAliveTimeout = 10_000;
 	}
@@ -62,12 +62,12 @@
 		this.#port = (this.#server.address() as AddressInfo).port;
 		this.#timer = setInterval(() => {
 			this.announce();
-		}, this.options.announceIntervalMs ?? ANNOUNCE_EVERY_MS);
+		}, this.options.announceIntervalMs ?? DEFAULT_ANNOUNCE_INTERVAL_MS);
 		this.announce();
 		return this.#port;
 	}
 
-	/** Announces that no new work is taken. */
+	/** Announces to every entry host that this server takes no new work. */
 	announceLeaving(): void {
 		this.#isLeaving = true;
 		for (const _entry of this.options.entries) {
@@ -75,7 +75,7 @@
 		}
 	}
 
-	/** Breaks every open connection; new ones are still accepted. */
+	/** Closes every open connection; new ones are still accepted. */
 	closeConnections(): void {
 		this.#server.closeAllConnections();
 	}
@@ -105,12 +105,13 @@
 		}
 	}
 
-	/** What the announcement says beyond name and address. */
+	/** Returns the fields of the announcement that depend on the kind of server. */
 	protected abstract describeAnnouncement(): Pick<Announcement, 'kind'> & Partial<Announcement>;
 
+	/** Answers one request, whose body was read completely. */
 	protected abstract handleRequest(request: http.IncomingMessage, response: http.ServerResponse, body: string): Promise<void> | void;
 
-	async #serve(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
+	async #readAndHandle(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
 		const chunks: Buffer[] = [];
 		try {
 			for await (const chunk of request) {
@@ -125,11 +126,11 @@
 }
 
 /**
- * Answers with JSON.
+ * Sends a JSON response.
  *
  * @example
  * ```ts
- * replyJson(response, 200, {ok: true});
+ * sendJson(response, 200, {ok: true});
  * ```
  */
 export function sendJson(response: http.ServerResponse, status: number, value: unknown, headers: Readonly<Record<string, string>> = {}): void {
--- a/fakes/completion.ts
+++ b/fakes/completion.ts
@@ -1,16 +1,19 @@
 /**
- * The known answer of the fake models: a function of the prompt, so that a wrong, cut or crossed one shows.
+ * Deterministic completions of the fake models.
+ *
+ * The text is a function of the prompt, so that a test notices a completion that is wrong, truncated or meant for another
+ * request.
  *
  * @module
  */
 import {createHash} from 'node:crypto';
 
 /**
- * Returns one token of the answer to a prompt.
+ * Returns the token at one offset of the completion of a prompt.
  *
  * @example
  * ```ts
- * answerToken('user: Hello', 0); // 'k3f9 '
+ * generateToken('user: Hello', 0); // 'k3f9 '
  * ```
  */
 export function generateToken(prompt: string, offset: number): string {
@@ -18,16 +21,16 @@
 }
 
 /**
- * Returns the whole answer.
+ * Returns the first tokens of the completion of a prompt.
  *
  * @example
  * ```ts
- * expectedAnswer('user: Hello', 2); // 'k3f9 01ab '
+ * generateCompletion('user: Hello', 2); // 'k3f9 01ab '
  * ```
  */
 export function generateCompletion(prompt: string, tokens: number): string {
 	return Array.from({length: tokens}, (_, offset) => generateToken(prompt, offset)).join('');
 }
 
-/** Tokens of an answer without a limit, by model. */
+/** Completion length in tokens for requests without a token limit, by model. */
 export const DEFAULT_COMPLETION_TOKENS: Readonly<Record<string, number>> = {'summary-1': 24, 'chat-1': 120};
--- a/fakes/engine.ts
+++ b/fakes/engine.ts
@@ -1,5 +1,6 @@
 /**
- * A fake model engine: known answers, a simple clock of prefill and decode, orders, counters.
+ * A fake model engine: streams deterministic completions with simulated prefill and decode times, executes orders, and
+ * counts what it was asked to do.
  *
  * @module
  */
@@ -13,12 +14,12 @@
 	readonly models?: readonly string[];
 	readonly role?: 'prefill' | 'decode' | 'mixed';
 	readonly checksFence?: boolean;
-	/** Time of one decode step, milliseconds. */
+	/** Duration of one decode step, which yields one token per stream, in milliseconds. */
 	readonly stepMs?: number;
 	readonly prefillTokensPerMs?: number;
-	/** Time that a role change or a load takes, milliseconds. */
+	/** Time that an order takes, in milliseconds. The engine refuses requests meanwhile. */
 	readonly orderDurationMs?: number;
-	/** What to do with a request that crashes engines; by default the process dies. */
+	/** Called instead of exiting the process when a request crashes the engine. */
 	readonly onCrash?: () => void;
 };
 
@@ -40,11 +41,10 @@
 	readonly kv?: {readonly handle: string};
 };
 
-/** A prompt with this word crashes every engine that runs it. */
+/** A prompt that contains this text crashes every engine that runs it. */
 export const POISON_WORD = 'CRASH-THE-ENGINE';
 const EXIT_CRASHED = 70;
 
-/** A fake engine. */
 export class FakeEngine extends FakeBackend {
 	readonly #options: FakeEngineOptions;
 	readonly #runs = new Map<string, number>();
@@ -52,13 +52,13 @@
 	readonly #orders: Order[] = [];
 	#models: string[];
 	#role: 'prefill' | 'decode' | 'mixed';
-	#highest = 0;
+	#highestOrder = 0;
 	#orderState = 'done';
-	#isAway = false;
-	#cutByOrder = 0;
-	#cancelled = 0;
-	#refused = 0;
-	#imported = 0;
+	#isUnavailable = false;
+	#streamsCutByOrder = 0;
+	#cancelledStreams = 0;
+	#refusedRequests = 0;
+	#importedCaches = 0;
 
 	constructor(options: FakeEngineOptions) {
 		super(options);
@@ -67,7 +67,7 @@
 		this.#role = options.role ?? 'mixed';
 	}
 
-	/** Streams that run now. */
+	/** Number of streams that are running. */
 	get runningCount(): number {
 		return this.#streams.size;
 	}
@@ -90,18 +90,18 @@
 		switch (route) {
 			case 'GET /runs': {
 				sendJson(response, 200, {
-					requests: Object.fromEntries(this.#runs), orders: this.#orders, cutByOrder: this.#cutByOrder, cancelled: this.#cancelled, refused: this.#refused, imported: this.#imported, role: this.#role, running: this.#streams.size,
+					requests: Object.fromEntries(this.#runs), orders: this.#orders, cutByOrder: this.#streamsCutByOrder, cancelled: this.#cancelledStreams, refused: this.#refusedRequests, imported: this.#importedCaches, role: this.#role, running: this.#streams.size,
 				});
 				break;
 			}
 
 			case 'GET /orders': {
-				sendJson(response, 200, {order: this.#highest, state: this.#orderState});
+				sendJson(response, 200, {order: this.#highestOrder, state: this.#orderState});
 				break;
 			}
 
 			case 'POST /orders': {
-				this.#takeOrder(response, JSON.parse(body) as Order);
+				this.#receiveOrder(response, JSON.parse(body) as Order);
 				break;
 			}
 
@@ -117,34 +117,35 @@
 		}
 	}
 
-	#takeOrder(response: ServerResponse, order: Order): void {
-		if (this.#options.checksFence !== false && order.order < this.#highest) {
-			sendJson(response, 409, {order: this.#highest, state: this.#orderState, note: 'old fencing number'});
+	/** Starts an order. Breaks off the running streams and counts them, so that tests notice an order sent to a busy engine. */
+	#receiveOrder(response: ServerResponse, order: Order): void {
+		if (this.#options.checksFence !== false && order.order < this.#highestOrder) {
+			sendJson(response, 409, {order: this.#highestOrder, state: this.#orderState, note: 'old fencing number'});
 			return;
 		}
 
-		if (order.order === this.#highest) {
-			sendJson(response, 200, {order: this.#highest, state: this.#orderState});
+		if (order.order === this.#highestOrder) {
+			sendJson(response, 200, {order: this.#highestOrder, state: this.#orderState});
 			return;
 		}
 
 		this.#orders.push(order);
-		this.#highest = order.order;
+		this.#highestOrder = order.order;
 		this.#orderState = 'running';
-		this.#isAway = true;
+		this.#isUnavailable = true;
 		for (const stream of this.#streams) {
-			this.#cutByOrder++;
+			this.#streamsCutByOrder++;
 			stream.destroy();
 		}
 
 		setTimeout(() => {
 			this.#finishOrder(order);
 		}, this.#options.orderDurationMs ?? 300);
-		sendJson(response, 200, {order: this.#highest, state: this.#orderState});
+		sendJson(response, 200, {order: this.#highestOrder, state: this.#orderState});
 	}
 
 	#finishOrder(order: Order): void {
-		if (order.order !== this.#highest) {
+		if (order.order !== this.#highestOrder) {
 			return;
 		}
 
@@ -153,14 +154,14 @@
 			this.#models = [...this.#models, order.model];
 		}
 
-		this.#isAway = order.type === 'withdraw';
+		this.#isUnavailable = order.type === 'withdraw';
 		this.#orderState = 'done';
 		this.announce();
 	}
 
 	#complete(request: IncomingMessage, response: ServerResponse, body: CompletionBody): void {
-		if (this.#isAway || !this.#models.includes(body.model)) {
-			this.#refused++;
+		if (this.#isUnavailable || !this.#models.includes(body.model)) {
+			this.#refusedRequests++;
 			sendJson(response, 503, {error: 'not serving'}, {'carawayhoist-outcome': 'not-run'});
 			return;
 		}
@@ -168,10 +169,10 @@
 		const prompt = body.messages ? body.messages.map(({role, content}) => `${role}: ${content}`).join('\n') : body.prompt ?? '';
 		this.#runs.set(prompt.slice(0, 80), (this.#runs.get(prompt.slice(0, 80)) ?? 0) + 1);
 		const id = String(request.headers['x-request-id']);
-		const total = Math.min(body.max_completion_tokens ?? body.max_tokens ?? Number.POSITIVE_INFINITY, DEFAULT_COMPLETION_TOKENS[body.model] ?? 50);
+		const outputTokens = Math.min(body.max_completion_tokens ?? body.max_tokens ?? Number.POSITIVE_INFINITY, DEFAULT_COMPLETION_TOKENS[body.model] ?? 50);
 		const promptTokens = Math.ceil(prompt.length / 4);
 		const prefillMs = body.kv ? 0 : promptTokens / (this.#options.prefillTokensPerMs ?? 20);
-		this.#imported += body.kv ? 1 : 0;
+		this.#importedCaches += body.kv ? 1 : 0;
 		this.#streams.add(response);
 		const timer = setTimeout(() => {
 			if (prompt.includes(POISON_WORD)) {
@@ -180,40 +181,41 @@
 			}
 
 			this.#stream(response, {
-				id, prompt, total, handsOff: body.handoff ?? false, offset: body.resume?.offset ?? 0, isChat: body.messages !== undefined, promptTokens,
+				id, prompt, outputTokens, handsOff: body.handoff ?? false, offset: body.resume?.offset ?? 0, isChat: body.messages !== undefined, promptTokens,
 			});
 		}, prefillMs);
 		response.once('close', () => {
 			clearTimeout(timer);
 			this.#streams.delete(response);
 			if (!response.writableFinished) {
-				this.#cancelled++;
+				this.#cancelledStreams++;
 			}
 		});
 	}
 
-	#stream(response: ServerResponse, options: {id: string; prompt: string; total: number; handsOff: boolean; offset: number; isChat: boolean; promptTokens: number}): void {
+	/** Sends one event per decode step. With `handsOff` it stops after one token and names a KV cache to continue from. */
+	#stream(response: ServerResponse, options: {id: string; prompt: string; outputTokens: number; handsOff: boolean; offset: number; isChat: boolean; promptTokens: number}): void {
 		const {id, prompt, isChat, promptTokens} = options;
-		const total = options.handsOff ? Math.min(options.total, options.offset + 1) : options.total;
-		const handoff = total < options.total ? {handoff: `kv-${id}`} : {};
+		const outputTokens = options.handsOff ? Math.min(options.outputTokens, options.offset + 1) : options.outputTokens;
+		const handoff = outputTokens < options.outputTokens ? {handoff: `kv-${id}`} : {};
 		let {offset} = options;
 		response.writeHead(200, {'content-type': 'text/event-stream', 'carawayhoist-load': `${this.#streams.size},0,0,${this.#streams.size * 200}`});
-		const write = (choice: unknown, rest: Record<string, unknown>) => {
+		const writeChunk = (choice: unknown, rest: Record<string, unknown>) => {
 			response.write(`data: ${JSON.stringify({id, choices: choice === undefined ? [] : [choice], ...rest})}\n\n`);
 		};
 
 		const timer = setInterval(() => {
-			if (offset < total) {
+			if (offset < outputTokens) {
 				const text = generateToken(prompt, offset);
-				write({index: 0, ...(isChat ? {delta: {content: text}} : {text}), finish_reason: null}, {offset});
+				writeChunk({index: 0, ...(isChat ? {delta: {content: text}} : {text}), finish_reason: null}, {offset});
 				offset++;
 				return;
 			}
 
 			clearInterval(timer);
-			const reason = total < (DEFAULT_COMPLETION_TOKENS['chat-1'] ?? 0) ? 'length' : 'stop';
-			write({index: 0, ...(isChat ? {delta: {}} : {text: ''}), finish_reason: reason}, handoff);
-			write(undefined, {usage: {prompt_tokens: promptTokens, completion_tokens: total, total_tokens: promptTokens + total}});
+			const reason = outputTokens < (DEFAULT_COMPLETION_TOKENS['chat-1'] ?? 0) ? 'length' : 'stop';
+			writeChunk({index: 0, ...(isChat ? {delta: {}} : {text: ''}), finish_reason: reason}, handoff);
+			writeChunk(undefined, {usage: {prompt_tokens: promptTokens, completion_tokens: outputTokens, total_tokens: promptTokens + outputTokens}});
 			response.end('data: [DONE]\n\n');
 		}, this.#options.stepMs ?? 10);
 		response.once('close', () => {
--- a/fakes/main.ts
+++ b/fakes/main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one fake backend server as a process of its own.
+ * Runs one fake backend server as a separate process. Prints its name and port as one JSON line when it accepts requests.
  *
  * @example
  * ```sh
--- a/fakes/plain.ts
+++ b/fakes/plain.ts
@@ -1,5 +1,5 @@
 /**
- * A fake plain server: bookings, the agenda, leap-second insertions; counts how often each key ran.
+ * A fake plain backend server with two services, `booking` and `signal`. Counts how often it ran each idempotency key.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 
 export type FakePlainServerOptions = FakeBackendOptions & {
 	readonly services?: readonly string[];
-	/** Time from taking a call to answering it, milliseconds. */
+	/** Time between running a request and responding to it, in milliseconds. */
 	readonly processingMs?: number;
 };
 
@@ -19,7 +19,6 @@
 	readonly body: string;
 };
 
-/** A fake plain server. */
 export class FakePlainServer extends FakeBackend {
 	readonly #options: FakePlainServerOptions;
 	readonly #runs: Run[] = [];
@@ -29,7 +28,7 @@
 		this.#options = options;
 	}
 
-	/** How often each key ran here. */
+	/** Returns how many requests ran with each idempotency key. */
 	countRunsByKey(): Record<string, number> {
 		const counts: Record<string, number> = {};
 		for (const {key} of this.#runs) {
@@ -54,15 +53,15 @@
 
 		const key = String(request.headers['idempotency-key'] ?? '');
 		const requestId = String(request.headers['x-request-id'] ?? '');
-		const answer = this.#run(route, key, body);
+		const result = this.#run(route, key, body);
 		if (this.#options.processingMs !== undefined) {
 			await new Promise(resolve => {
 				setTimeout(resolve, this.#options.processingMs);
 			});
 		}
 
-		if (answer) {
-			sendJson(response, 200, answer, {'x-request-id': requestId});
+		if (result) {
+			sendJson(response, 200, result, {'x-request-id': requestId});
 		} else {
 			sendJson(response, 404, {error: 'not found'}, {'x-request-id': requestId});
 		}
