--- a/src/daemon/carawayhoistd.ts
+++ b/src/daemon/carawayhoistd.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The daemon's command line.
+ * Command line of the daemon.
  *
  * @module
  */
@@ -18,22 +18,23 @@
 const EXIT_FAILED = 1;
 const EXIT_USAGE = 2;
 
-const HELP = `carawayhoistd: runs one process of carawayhoist.
+const HELP = `carawayhoistd: runs one host of carawayhoist.
 
 Usage:
-  carawayhoistd --settings FILE   run the roles that the settings name
-  carawayhoistd --check FILE      check a settings file and exit
+  carawayhoistd --settings FILE   run the host that the settings file describes
+  carawayhoistd --check FILE      validate a settings file and exit
   carawayhoistd --help | --version
 
 Signals:
-  SIGTERM, SIGINT   stop: not ready, accept no more, finish what runs, hand over, exit
+  SIGTERM, SIGINT   shut down gracefully: report not ready, stop accepting connections,
+                    finish running requests, transfer leadership, exit
 
 Exit codes:
-  0  stopped as asked, or the settings are right
-  1  a fault while running (the log's last line says which)
-  2  wrong command line or settings
+  0  shut down as requested, or the settings are valid
+  1  failure while starting or running (see the last line of the log)
+  2  invalid command line or settings
 
-docs/operate/SETTINGS.md lists every setting, docs/ERRORS.md every code.
+docs/operate/SETTINGS.md lists every setting, docs/ERRORS.md every error code.
 `;
 
 await main();
@@ -82,10 +83,10 @@
 	process.stdout.write(`${file}: right (host ${settings.right.host}, roles ${settings.right.roles.join(', ')})\n`);
 }
 
-function printFailure(file: string, {problem, errors: faults}: SettingsFailure): void {
+function printFailure(file: string, {problem, errors}: SettingsFailure): void {
 	process.stderr.write(`${file}: ${problem.code} ${problem.text}\n`);
-	for (const fault of faults) {
-		process.stderr.write(`  ${fault.pointer} ${fault.text}\n`);
+	for (const error of errors) {
+		process.stderr.write(`  ${error.pointer} ${error.text}\n`);
 	}
 
 	process.exitCode = EXIT_USAGE;
@@ -101,21 +102,21 @@
 	const loggers = createLoggers(settings.right.logLevel ?? 'info', {host: settings.right.host});
 	const logger = loggers('daemon');
 	const fail = (problem: Problem) => {
-		logger.error(`Stops at once: ${problem.text}`, {code: problem.code});
+		logger.error(`Stopping after a fatal error: ${problem.text}`, {code: problem.code});
 		process.exit(EXIT_FAILED);
 	};
 
 	const host = new Host({settings: settings.right, loggers});
 	const started = await host.start();
 	if (Either.isLeft(started)) {
-		logger.error(`Could not start: ${started.left.text}`, {code: started.left.code});
+		logger.error(`Startup failed: ${started.left.text}`, {code: started.left.code});
 		process.stderr.write(`carawayhoistd: ${started.left.code} ${started.left.text}\n`);
 		process.exitCode = EXIT_FAILED;
 		return;
 	}
 
 	const {httpPort, peerPort} = started.right;
-	logger.info(`Listens on ${formatHost(settings.right.http.address)}:${httpPort}.`, {
+	logger.info(`Listening on ${formatHost(settings.right.http.address)}:${httpPort}.`, {
 		httpPort, peerPort, roles: settings.right.roles, pid: process.pid, version: VERSION,
 	});
 	let isStopping = false;
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Reads and checks a settings file.
+ * Reads and validates the settings file of the daemon.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 };
 
 /**
- * Reads settings; on failure every fault is named by its JSON pointer.
+ * Reads and validates a settings file. A failure lists every invalid setting with its JSON pointer.
  *
  * @example
  * ```ts
@@ -35,16 +35,16 @@
 }
 
 /**
- * Checks settings of unknown shape, also across fields.
+ * Validates settings against their schema, then checks the constraints between several settings.
  *
  * @example
  * ```ts
- * checkSettings({host: 'a1'}); // Either.left({problem, faults: [{pointer: '/dataCentre', text: 'is required'}, …]})
+ * validateSettings({host: 'a1'}); // Either.left({problem, errors: [{pointer: '/dataCentre', text: 'is required'}, …]})
  * ```
  */
 export function validateSettings(value: unknown): Either.Either<SettingsFailure, Settings> {
 	const checked = validate('Settings', value);
-	const errors = Either.isLeft(checked) ? checked.left : findCrossFaults(checked.right);
+	const errors = Either.isLeft(checked) ? checked.left : findConflicts(checked.right);
 	if (Either.isLeft(checked) || errors.length > 0) {
 		return Either.left({problem: createProblem('settingsInvalid'), errors});
 	}
@@ -52,12 +52,12 @@
 	return checked;
 }
 
-/** Faults that only show when several settings are seen together. */
-function findCrossFaults(settings: Settings): ValidationError[] {
+/** Checks the constraints that the schema cannot express because they involve several settings. */
+function findConflicts(settings: Settings): ValidationError[] {
 	const errors: ValidationError[] = [];
 	const isControl = settings.roles.includes('control');
 	if (!settings.roles.includes('entry')) {
-		errors.push({pointer: '/roles', text: 'must contain "entry": every host takes callers and announcements'});
+		errors.push({pointer: '/roles', text: 'must contain "entry": every host serves callers and receives announcements'});
 	}
 
 	if (isControl && settings.dataFolder === undefined) {
@@ -65,10 +65,10 @@
 	}
 
 	if (settings.control === undefined) {
-		errors.push({pointer: '/control', text: 'is required: the control hosts to start from'});
+		errors.push({pointer: '/control', text: 'is required: it lists the control hosts to contact first'});
 	}
 
-	errors.push(...findRepeated('/control', settings.control ?? []), ...findRepeated('/peers', settings.peers ?? []));
+	errors.push(...findDuplicateHosts('/control', settings.control ?? []), ...findDuplicateHosts('/peers', settings.peers ?? []));
 	if (settings.http.port !== 0 && settings.http.port === settings.peer.port && settings.http.address === settings.peer.address) {
 		errors.push({pointer: '/peer/port', text: 'must differ from /http/port'});
 	}
@@ -76,7 +76,7 @@
 	return errors;
 }
 
-function findRepeated(pointer: string, peers: ReadonlyArray<{readonly host: string}>): ValidationError[] {
+function findDuplicateHosts(pointer: string, peers: ReadonlyArray<{readonly host: string}>): ValidationError[] {
 	const errors: ValidationError[] = [];
 	const seen = new Set<string>();
 	for (const [index, {host}] of peers.entries()) {
