--- a/test/catalogue.test.ts
+++ b/test/catalogue.test.ts
@@ -10,7 +10,7 @@
 	name: 'r1', host: 'a.example', 'path-prefix': '/x/', type: 'safe', 'timeout-ms': 800, 'slo-ms': 100, priority: 2, service: 'svc', 'max-attempts': 2,
 };
 
-test('the longest prefix of a host wins, whatever the case of the host and the query', () => {
+test('a request matches the route with the longest prefix of its host, ignoring the case of the host and the query', () => {
 	const table = createTable([ROUTE, {...ROUTE, name: 'r2', 'path-prefix': '/x/y/'}, {...ROUTE, name: 'r3', host: 'b.example'}]);
 	assert.equal(table.match('A.example:8080', '/x/y/1?p=/x/')?.name, 'r2');
 	assert.equal(table.match('a.example', '/x/yy')?.name, 'r1');
@@ -19,7 +19,7 @@
 	assert.equal(table.match('c.example', '/x/1'), undefined);
 });
 
-test('a split is chosen by weight', () => {
+test('a service of a split is chosen by weight', () => {
 	const table = createTable([{
 		...ROUTE, service: undefined, split: [{service: 'svc', weight: 90}, {service: 'other', weight: 10}],
 	}], [SERVICE, {...SERVICE, name: 'other'}]);
@@ -30,26 +30,26 @@
 	assert.ok(others > 60 && others < 140, `${others} of 1000`);
 });
 
-test('what is invalid is refused', () => {
-	const faults: Record<string, string> = {
-		cut: JSON.stringify({version: 1, routes: [ROUTE], services: [SERVICE]}).slice(0, -5),
-		'unknown service': write({routes: [{...ROUTE, service: 'none'}]}),
-		'same place': write({routes: [ROUTE, {...ROUTE, name: 'r2', host: 'A.EXAMPLE'}]}),
-		'no weight': write({routes: [{...ROUTE, service: undefined, split: [{service: 'svc', weight: 0}]}]}),
-		'no time-out': write({routes: [{...ROUTE, 'timeout-ms': 0}]}),
-		'no version': write({version: undefined}),
-		'no routes': write({routes: undefined}),
-		'a list': '[]',
-		'unknown kind': write({routes: [{...ROUTE, type: 'other'}]}),
+test('invalid configurations are rejected', () => {
+	const invalid: Record<string, string> = {
+		truncated: JSON.stringify({version: 1, routes: [ROUTE], services: [SERVICE]}).slice(0, -5),
+		'unknown service': serialize({routes: [{...ROUTE, service: 'none'}]}),
+		'two routes with the same host and prefix': serialize({routes: [ROUTE, {...ROUTE, name: 'r2', host: 'A.EXAMPLE'}]}),
+		'no weight': serialize({routes: [{...ROUTE, service: undefined, split: [{service: 'svc', weight: 0}]}]}),
+		'no timeout': serialize({routes: [{...ROUTE, 'timeout-ms': 0}]}),
+		'no version': serialize({version: undefined}),
+		'no routes': serialize({routes: undefined}),
+		'a list instead of an object': '[]',
+		'unknown type': serialize({routes: [{...ROUTE, type: 'other'}]}),
 	};
-	for (const [name, text] of Object.entries(faults)) {
+	for (const [name, text] of Object.entries(invalid)) {
 		assert.ok(Either.isLeft(decodeRoutingConfig(text)), name);
 	}
 
-	assert.ok(Either.isRight(decodeRoutingConfig(write({}))));
+	assert.ok(Either.isRight(decodeRoutingConfig(serialize({}))));
 });
 
-function write(fields: Record<string, unknown>): string {
+function serialize(fields: Record<string, unknown>): string {
 	return JSON.stringify({
 		version: 1, routes: [ROUTE], services: [SERVICE], ...fields,
 	});
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -44,30 +44,30 @@
 	'carawayhoist-model': 'm', 'carawayhoist-token-counts': '20000,80', 'carawayhoist-prompt-prefix': 'aa:15000,bb:5000',
 };
 
-test('a read is answered by the server, with its headers and without ours', async t => {
-	const site = await startSite(t, [{id: 'p1', service: 'plain'}]);
-	const answer = await site.call('/read/1?x=%20y', {'carawayhoist-kv-hold': 'mine', 'x-other': 'kept', 'carawayhoist-deadline-ms': '500'});
+test('a repeatable request reaches the server with the caller\'s headers, but without headers reserved for this system', async t => {
+	const system = await startSystem(t, [{id: 'p1', service: 'plain'}]);
+	const answer = await system.call('/read/1?x=%20y', {'carawayhoist-kv-hold': 'mine', 'x-other': 'kept', 'carawayhoist-deadline-ms': '500'});
 	assert.deepEqual({status: answer.status, text: answer.text}, {status: 200, text: `plain ${answer.id}`});
-	const {path: target, headers} = site.servers[0]!.arrivals[0]!;
-	assert.equal(target, '/read/1?x=%20y');
+	const {path: requestTarget, headers} = system.servers[0]!.arrivals[0]!;
+	assert.equal(requestTarget, '/read/1?x=%20y');
 	assert.equal(headers['carawayhoist-kv-hold'], undefined);
 	assert.equal(headers['x-other'], 'kept');
 	assert.equal(headers['carawayhoist-expect-instance'], 'p1');
 	assert.ok(Number(headers['carawayhoist-deadline-ms']) <= 500);
 });
 
-test('a long prompt is read by one engine and answered by another', async t => {
-	const site = await startSite(t, [{id: 'e1', service: 'llm', stage: 'prefill'}, {id: 'e2', service: 'llm', stage: 'decode'}]);
-	const answer = await site.call('/ask/1', LONG_PROMPT, 'prompt');
+test('a long prompt is prefilled by one engine and decoded by another', async t => {
+	const system = await startSystem(t, [{id: 'e1', service: 'llm', stage: 'prefill'}, {id: 'e2', service: 'llm', stage: 'decode'}]);
+	const answer = await system.call('/ask/1', LONG_PROMPT, 'prompt');
 	assert.equal(answer.status, 200);
 	assert.equal(answer.text.match(/^id: /gmv)?.length, 4);
-	const [reader, runner] = site.servers;
-	assert.equal(reader!.arrivals[0]?.headers['carawayhoist-serving-stage'], 'prefill');
-	assert.equal(runner!.arrivals[0]?.headers['carawayhoist-kv-source'], `${reader!.address}/h1`);
-	assert.equal(runner!.arrivals[0]?.body, 'prompt');
+	const [prefillEngine, decodeEngine] = system.servers;
+	assert.equal(prefillEngine!.arrivals[0]?.headers['carawayhoist-serving-stage'], 'prefill');
+	assert.equal(decodeEngine!.arrivals[0]?.headers['carawayhoist-kv-source'], `${prefillEngine!.address}/h1`);
+	assert.equal(decodeEngine!.arrivals[0]?.body, 'prompt');
 });
 
-test('a resumable stream that breaks inside an event goes on elsewhere, without a gap or a repeat', async t => {
+test('a resumable stream that breaks off inside an event continues at another engine, without missing or repeated events', async t => {
 	let broken = 0;
 	const breakOnce: StandinOptions['intercept'] = (request, response) => {
 		if (broken > 0 || request.headers['last-event-id'] !== undefined) {
@@ -83,68 +83,68 @@
 		return true;
 	};
 
-	const site = await startSite(t, ['e1', 'e2'].map(id => ({
+	const system = await startSystem(t, ['e1', 'e2'].map(id => ({
 		id, service: 'llm', stage: 'decode' as const, intercept: breakOnce,
 	})));
-	const answer = await site.call('/ask/1', {...LONG_PROMPT, 'carawayhoist-token-counts': '10,80', 'carawayhoist-prompt-prefix': 'aa:10'}, 'prompt');
+	const answer = await system.call('/ask/1', {...LONG_PROMPT, 'carawayhoist-token-counts': '10,80', 'carawayhoist-prompt-prefix': 'aa:10'}, 'prompt');
 	assert.deepEqual([...answer.text.matchAll(/^id: (\d)/gmv)].map(([, id]) => id), ['1', '2', '3', '4']);
 	assert.equal(broken, 1);
 });
 
-test('work that may run once is not sent again after its server broke off', async t => {
-	const site = await startSite(t, ['p1', 'p2'].map(id => ({
+test('a non-repeatable request is not retried after its server closed the connection', async t => {
+	const system = await startSystem(t, ['p1', 'p2'].map(id => ({
 		id, service: 'plain', intercept(_request, response) {
 			response.socket?.resetAndDestroy();
 			return true;
 		},
 	})));
-	const answer = await site.call('/book/1', {}, 'seat');
+	const answer = await system.call('/book/1', {}, 'seat');
 	assert.equal(answer.status, 502);
-	assert.equal(site.servers.reduce((sum, server) => sum + server.arrivals.length, 0), 1);
+	assert.equal(system.servers.reduce((sum, server) => sum + server.arrivals.length, 0), 1);
 });
 
-test('a refusal of the server is passed on as a promise that nothing ran', async t => {
-	const site = await startSite(t, [{
+test('a response that says the request was not executed is passed on with its status and a retry-after header', async t => {
+	const system = await startSystem(t, [{
 		id: 'p1', service: 'plain', intercept(_request, response) {
 			response.writeHead(503, {'carawayhoist-not-executed': '1'}).end();
 			return true;
 		},
 	}]);
-	const answer = await site.call('/book/1', {}, 'seat');
+	const answer = await system.call('/book/1', {}, 'seat');
 	assert.equal(answer.status, 503);
 	assert.ok(Number(answer.headers['retry-after']) > 0);
 });
 
-test('an answer to another request is not passed on', async t => {
-	const site = await startSite(t, [{
+test('a response to another request is not passed on', async t => {
+	const system = await startSystem(t, [{
 		id: 'p1', service: 'plain', intercept(_request, response) {
 			response.writeHead(200, {'carawayhoist-attempt-id': 'another'}).end('secret');
 			return true;
 		},
 	}]);
-	const answer = await site.call('/book/1', {}, 'seat');
+	const answer = await system.call('/book/1', {}, 'seat');
 	assert.equal(answer.status, 502);
 	assert.doesNotMatch(answer.text, /secret/v);
 });
 
-test('an answer that ends with its connection is passed on as such, not as one that is known to be whole', async t => {
-	const site = await startSite(t, [{
+test('a response delimited by the end of its connection is passed on the same way, so that it does not look complete', async t => {
+	const system = await startSystem(t, [{
 		id: 'p1', service: 'plain', intercept(request, response) {
 			response.socket?.end(`HTTP/1.1 200 OK\r\ncarawayhoist-attempt-id: ${String(request.headers['carawayhoist-attempt-id'])}\r\n\r\nhalf`);
 			return true;
 		},
 	}]);
-	const answer = await site.call('/book/1', {}, 'seat');
+	const answer = await system.call('/book/1', {}, 'seat');
 	assert.equal(answer.text, 'half');
 	assert.equal(answer.headers['content-length'], undefined);
 	assert.equal(answer.headers['transfer-encoding'], undefined);
 	assert.equal(answer.headers.connection, 'close');
 });
 
-test('a read goes to another server after a failure of the first', async t => {
-	const site = await startSite(t, ['p1', 'p2'].map(id => ({
+test('a repeatable request is retried at another server after the first one fails', async t => {
+	const system = await startSystem(t, ['p1', 'p2'].map(id => ({
 		id, service: 'plain', intercept(_request, response) {
-			const isFirst = site.servers.reduce((sum, server) => sum + server.arrivals.length, 0) === 1;
+			const isFirst = system.servers.reduce((sum, server) => sum + server.arrivals.length, 0) === 1;
 			if (isFirst) {
 				response.socket?.resetAndDestroy();
 			}
@@ -152,22 +152,22 @@
 			return isFirst;
 		},
 	})));
-	assert.equal((await site.call('/read/1')).status, 200);
+	assert.equal((await system.call('/read/1')).status, 200);
 });
 
-test('a good answer takes nothing from the budget of repeats', async t => {
-	const site = await startSite(t, [{id: 'p1', service: 'plain'}, {id: 'p2', service: 'plain'}]);
+test('a successful response uses none of the retry budget', async t => {
+	const system = await startSystem(t, [{id: 'p1', service: 'plain'}, {id: 'p2', service: 'plain'}]);
 	for (let index = 0; index < 10; index++) {
-		assert.equal((await site.call('/read/1')).status, 200);
+		assert.equal((await system.call('/read/1')).status, 200);
 	}
 
-	const {values} = await site.metrics.repeats.get();
+	const {values} = await system.metrics.repeats.get();
 	assert.equal(values.reduce((sum, {value}) => sum + value, 0), 0);
 });
 
-test('a request is answered at its route\'s time-out, and its server let go', async t => {
+test('a request is answered at the timeout of its route, and the connection to its server is closed', async t => {
 	let isClosed = false;
-	const site = await startSite(t, [{
+	const system = await startSystem(t, [{
 		id: 'p1', service: 'plain', intercept(request) {
 			request.socket.once('close', () => {
 				isClosed = true;
@@ -175,26 +175,26 @@
 			return true;
 		},
 	}]);
-	assert.equal((await site.call('/book/1', {'carawayhoist-deadline-ms': '5000'}, 'seat')).status, 504);
-	await waitUntil(async () => isClosed, 'the server is let go');
+	assert.equal((await system.call('/book/1', {'carawayhoist-deadline-ms': '5000'}, 'seat')).status, 504);
+	await waitUntil(async () => isClosed, 'the connection to the server is closed');
 });
 
-test('a server that is leaving gets nothing new once that is acknowledged and told', async t => {
-	const site = await startSite(t, [{id: 'p1', service: 'plain'}, {id: 'p2', service: 'plain'}]);
-	assert.equal(await site.servers[0]!.announce(site.control, 'draining'), 200);
-	await waitUntil(async () => !site.entry.listServers().includes('p1'), 'p1 is out of use');
-	site.servers[0]!.arrivals.length = 0;
+test('a draining server gets no new requests once its announcement is acknowledged and has reached the entry host', async t => {
+	const system = await startSystem(t, [{id: 'p1', service: 'plain'}, {id: 'p2', service: 'plain'}]);
+	assert.equal(await system.servers[0]!.announce(system.control, 'draining'), 200);
+	await waitUntil(async () => !system.entry.listServers().includes('p1'), 'p1 is out of use');
+	system.servers[0]!.arrivals.length = 0;
 	for (let index = 0; index < 20; index++) {
-		assert.equal((await site.call('/read/1')).status, 200);
+		assert.equal((await system.call('/read/1')).status, 200);
 	}
 
-	assert.equal(site.servers[0]!.arrivals.length, 0);
+	assert.equal(system.servers[0]!.arrivals.length, 0);
 });
 
-test('configurations: the highest version holds, a repeat is acknowledged, another body under a version never shows', async t => {
-	const site = await startSite(t, []);
-	const put = async (text: string) => (await fetch(`http://${site.control}/-/config`, {method: 'PUT', body: text})).status;
-	const get = async () => (await fetch(`http://${site.control}/-/config`)).text();
+test('the configuration with the highest version stays in force, and a second body under the same version is acknowledged but ignored', async t => {
+	const system = await startSystem(t, []);
+	const put = async (text: string) => (await fetch(`http://${system.control}/-/config`, {method: 'PUT', body: text})).status;
+	const get = async () => (await fetch(`http://${system.control}/-/config`)).text();
 	const five = JSON.stringify({version: 5, routes: ROUTES, services: SERVICES});
 	const other = JSON.stringify({version: 5, routes: [], services: SERVICES});
 	const three = JSON.stringify({version: 3, routes: [], services: SERVICES});
@@ -206,23 +206,23 @@
 	assert.equal(await get(), five);
 });
 
-test('an engine is ordered to read under a rising fence, and its order is known to have ended', async t => {
+test('engines are ordered to the prefill role with a new fencing token each, and each order is known to have ended', async t => {
 	const engines = Array.from({length: 5}, (_, index) => ({
 		id: `e${index}`, service: 'llm', stage: 'decode' as const,
 	}));
-	const site = await startSite(t, engines);
+	const system = await startSystem(t, engines);
 	await waitUntil(async () => {
-		for (const server of site.servers) {
-			await server.announce(site.control);
+		for (const server of system.servers) {
+			await server.announce(system.control);
 		}
 
-		return site.servers.filter(server => server.stage === 'prefill').length === 3;
-	}, 'three of five engines read', 20_000);
-	const fences = site.servers.flatMap(({orders}) => orders as Array<{'fencing-token': number; holder: string}>).map(order => order['fencing-token']);
-	assert.equal(new Set(fences).size, 3);
+		return system.servers.filter(server => server.stage === 'prefill').length === 3;
+	}, 'three of five engines have the prefill role', 20_000);
+	const fencingTokens = system.servers.flatMap(({orders}) => orders as Array<{'fencing-token': number; holder: string}>).map(order => order['fencing-token']);
+	assert.equal(new Set(fencingTokens).size, 3);
 });
 
-test('a stream that may be resumed goes to another engine when the first one fails it', async t => {
+test('a resumable stream is retried at another engine when the first one fails', async t => {
 	let failures = 0;
 	const failOnce: StandinOptions['intercept'] = (request, response) => {
 		if (request.headers['carawayhoist-serving-stage'] !== undefined || failures > 0) {
@@ -235,36 +235,36 @@
 		return true;
 	};
 
-	const site = await startSite(t, ['d1', 'd2', 'd3'].map(id => ({
+	const system = await startSystem(t, ['d1', 'd2', 'd3'].map(id => ({
 		id, service: 'llm', stage: 'decode' as const, intercept: failOnce,
 	})));
-	const answer = await site.call('/ask/1', {...LONG_PROMPT, 'carawayhoist-deadline-ms': '2000'});
+	const answer = await system.call('/ask/1', {...LONG_PROMPT, 'carawayhoist-deadline-ms': '2000'});
 	assert.equal(failures, 1);
 	assert.equal(answer.status, 200);
 });
 
-test('the names of the platform stand in platform/ and deploy/ only', async () => {
-	// The project's own interface has had a header of the same name since before the platform.
-	const own = new Set(['src/entry/model.ts: carawayhoist-deadline']);
+test('names on the platform\'s wire are used only in platform/ and deploy/', async () => {
+	// The interface of carawayhoistd has its own header with a name that begins alike.
+	const exceptions = new Set(['src/entry/model.ts: carawayhoist-deadline']);
 	const names = /carawayhoist-(?:attempt|deadline|expect|kv|prompt|token|server|not-)|\/-\/(?:order|report|instances|config|kv)/giv;
-	const wrong: string[] = [];
+	const violations: string[] = [];
 	for (const folder of ['src', 'bench', 'dev', 'fakes']) {
 		const files = await readdir(path.join(ROOT, folder), {recursive: true});
 		for (const file of files.filter(name => name.endsWith('.ts'))) {
 			const text = await readFile(path.join(ROOT, folder, file), 'utf8');
-			wrong.push(...[...text.matchAll(names)].map(([name]) => `${folder}/${file}: ${name}`).filter(place => !own.has(place)));
+			violations.push(...[...text.matchAll(names)].map(([name]) => `${folder}/${file}: ${name}`).filter(place => !exceptions.has(place)));
 		}
 	}
 
-	assert.deepEqual(wrong, []);
+	assert.deepEqual(violations, []);
 });
 
-test('a control host counts what operators and servers sent', async t => {
-	const site = await startSite(t, [{id: 'p1', service: 'plain'}]);
-	const put = async (body: string) => (await fetch(`http://${site.control}/-/config`, {method: 'PUT', body})).status;
+test('a control host counts publications and announcements by outcome', async t => {
+	const system = await startSystem(t, [{id: 'p1', service: 'plain'}]);
+	const put = async (body: string) => (await fetch(`http://${system.control}/-/config`, {method: 'PUT', body})).status;
 	assert.equal(await put('{"version": 2, "routes": ['), 400);
 	assert.equal(await put(JSON.stringify({version: 1, routes: ROUTES, services: SERVICES})), 200);
-	const text = await site.controlRegistry.metrics();
+	const text = await system.controlRegistry.metrics();
 	assert.match(text, /^carawayhoist_publications_total\{outcome="accepted"\} 1$/mv);
 	assert.match(text, /^carawayhoist_publications_total\{outcome="invalid"\} 1$/mv);
 	assert.match(text, /^carawayhoist_publications_total\{outcome="superseded"\} 1$/mv);
@@ -275,8 +275,8 @@
 	after(handler: () => Promise<void>): void;
 };
 
-/** Starts one control host, one entry host and the servers, and waits until all are known. */
-async function startSite(t: TestContext, options: readonly StandinOptions[]) {
+/** Starts one control host, one entry host and the servers, and waits until the entry host knows all servers. */
+async function startSystem(t: TestContext, options: readonly StandinOptions[]) {
 	const folder = await mkdtemp(path.join(os.tmpdir(), 'site-'));
 	const clock = createClock();
 	const loggers = createSilentLoggers();
--- a/test/program.test.ts
+++ b/test/program.test.ts
@@ -21,21 +21,21 @@
 	await promisify(execFile)(process.execPath, ['deploy/build.js'], {cwd: ROOT});
 });
 
-test('a wrong setting is told by its pointer', async () => {
+test('an invalid setting is reported with its JSON pointer', async () => {
 	const run = promisify(execFile)(process.execPath, [PROGRAM], {env: {[SETTINGS_VARIABLE]: path.join(ROOT, 'package.json')}});
 	await assert.rejects(run, (error: {code?: number; stderr?: string}) => error.code === 2 && (error.stderr ?? '').includes('/host is required'));
 });
 
-test('an entry host turns to control hosts that its settings name later, with and without a signal, and ends with 0', async t => {
+test('an entry host contacts control hosts added to its settings, with and without SIGHUP, and exits with 0 on SIGTERM', async t => {
 	const folder = await mkdtemp(path.join(os.tmpdir(), 'program-'));
 	const file = path.join(folder, 'settings.json');
 	const peerPort = await findPort();
-	const heard = new Set<string>();
+	const contacted = new Set<string>();
 	const listeners: Listener[] = [];
 	for (const address of ['127.0.0.2', '127.0.0.3', '127.0.0.4']) {
 		const listener = new Listener(message => {
 			if (message.type === 'watch') {
-				heard.add(address);
+				contacted.add(address);
 			}
 		});
 		assert.ok(Either.isRight(await listener.listen({address, port: peerPort})));
@@ -45,8 +45,8 @@
 	const settings = {
 		host: 'h1', dataCentre: 'a', role: 'entry', address: '127.0.0.1', peerPort, callers: `127.0.0.1:${await findPort()}`, readiness: `127.0.0.1:${await findPort()}`, firstStart: true, bounds: BOUNDS,
 	};
-	const name = async (...seeds: string[]) => writeFile(file, JSON.stringify({...settings, seeds}));
-	await name('127.0.0.2:80');
+	const writeSeeds = async (...seeds: string[]) => writeFile(file, JSON.stringify({...settings, seeds}));
+	await writeSeeds('127.0.0.2:80');
 	const child = spawn(process.execPath, [PROGRAM], {env: {[SETTINGS_VARIABLE]: file}, stdio: ['ignore', 'pipe', 'inherit']});
 	const lines: string[] = [];
 	child.stdout.on('data', (chunk: Uint8Array) => {
@@ -61,19 +61,19 @@
 		await rm(folder, {recursive: true});
 	});
 
-	await waitUntil(async () => heard.has('127.0.0.2'), 'the first control host is asked');
-	await name('127.0.0.3:80');
+	await waitUntil(async () => contacted.has('127.0.0.2'), 'the first control host is contacted');
+	await writeSeeds('127.0.0.3:80');
 	child.kill('SIGHUP');
-	await waitUntil(async () => heard.has('127.0.0.3'), 'the second control host is asked after the signal');
+	await waitUntil(async () => contacted.has('127.0.0.3'), 'the second control host is contacted after SIGHUP');
 	await writeFile(file, '{"host": ');
 	child.kill('SIGHUP');
-	await waitUntil(async () => lines.some(line => line.includes('Keeps its settings')), 'unreadable settings are told');
-	await name('127.0.0.4:80');
-	await waitUntil(async () => heard.has('127.0.0.4'), 'the third control host is asked without a signal');
+	await waitUntil(async () => lines.some(line => line.includes('Keeping the current settings')), 'unreadable settings are reported');
+	await writeSeeds('127.0.0.4:80');
+	await waitUntil(async () => contacted.has('127.0.0.4'), 'the third control host is contacted without a signal');
 
-	const ended = new Promise<number | null>(resolve => {
+	const exitCode = new Promise<number | null>(resolve => {
 		child.once('exit', resolve);
 	});
 	child.kill('SIGTERM');
-	assert.equal(await ended, 0);
+	assert.equal(await exitCode, 0);
 });
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -15,7 +15,7 @@
 const DAEMON = path.join(ROOT, 'dist/src/daemon/carawayhoistd.js');
 const execute = promisify(execFile);
 
-const RIGHT = {
+const VALID = {
 	host: 'host-1',
 	dataCentre: 'a',
 	roles: ['control', 'entry'],
@@ -25,51 +25,51 @@
 	control: [{host: 'host-1', address: '127.0.0.1', port: 7400}],
 };
 
-/** A wrong file, the pointer that must be named, and a piece of what must be said of it. */
-const WRONG: ReadonlyArray<readonly [string, unknown, string, string]> = [
-	['no host', {...RIGHT, host: undefined}, '/host', 'is required'],
-	['a host with a space', {...RIGHT, host: 'host 1'}, '/host', 'pattern'],
-	['an unknown setting', {...RIGHT, colour: 'red'}, '/colour', 'is unknown'],
-	['an unknown role', {...RIGHT, roles: ['entry', 'boss']}, '/roles/1', 'must be one of "entry", "control"'],
-	['no role', {...RIGHT, roles: []}, '/roles', 'fewer than 1'],
-	['the control role alone', {...RIGHT, roles: ['control']}, '/roles', 'must contain "entry"'],
-	['a port that is too large', {...RIGHT, http: {address: '127.0.0.1', port: 70_000}}, '/http/port', '<= 65535'],
-	['a port that is a string', {...RIGHT, peer: {address: '127.0.0.1', port: '7400'}}, '/peer/port', 'integer'],
-	['a name in place of an IP number', {...RIGHT, http: {address: 'localhost', port: 80}}, '/http/address', 'pattern'],
-	['no data folder for a control host', {...RIGHT, dataFolder: undefined}, '/dataFolder', 'is required with the role'],
-	['no control hosts', {...RIGHT, control: undefined}, '/control', 'is required'],
-	['eight control hosts', {...RIGHT, control: Array.from({length: 8}, (_, index) => ({host: `h${index}`, address: '127.0.0.1', port: 1}))}, '/control', 'more than 7'],
-	['a control host named twice', {...RIGHT, control: [RIGHT.control[0], RIGHT.control[0]]}, '/control/1/host', 'a second time'],
-	['a control host without a port', {...RIGHT, control: [{host: 'host-1', address: '127.0.0.1'}]}, '/control/0/port', 'is required'],
-	['an unknown log level', {...RIGHT, logLevel: 'loud'}, '/logLevel', 'must be one of "debug", "info"'],
-	['a limit that is too small', {...RIGHT, limits: {bodyBytes: 1}}, '/limits/bodyBytes', '>= 1024'],
-	['an unknown limit', {...RIGHT, limits: {bodyMegabytes: 1}}, '/limits/bodyMegabytes', 'is unknown'],
-	['half of TLS', {...RIGHT, tls: {certificateFile: 'a.pem'}}, '/tls/keyFile', 'is required'],
-	['both listeners on one port', {...RIGHT, peer: RIGHT.http}, '/peer/port', 'must differ'],
+/** Invalid settings with the JSON pointer and a part of the text that must be reported. */
+const INVALID: ReadonlyArray<readonly [string, unknown, string, string]> = [
+	['no host', {...VALID, host: undefined}, '/host', 'is required'],
+	['a host with a space', {...VALID, host: 'host 1'}, '/host', 'pattern'],
+	['an unknown setting', {...VALID, colour: 'red'}, '/colour', 'is unknown'],
+	['an unknown role', {...VALID, roles: ['entry', 'boss']}, '/roles/1', 'must be one of "entry", "control"'],
+	['no roles', {...VALID, roles: []}, '/roles', 'fewer than 1'],
+	['the control role alone', {...VALID, roles: ['control']}, '/roles', 'must contain "entry"'],
+	['a port that is too large', {...VALID, http: {address: '127.0.0.1', port: 70_000}}, '/http/port', '<= 65535'],
+	['a port that is a string', {...VALID, peer: {address: '127.0.0.1', port: '7400'}}, '/peer/port', 'integer'],
+	['a host name instead of an IP address', {...VALID, http: {address: 'localhost', port: 80}}, '/http/address', 'pattern'],
+	['no data folder for a control host', {...VALID, dataFolder: undefined}, '/dataFolder', 'is required with the role'],
+	['no control hosts', {...VALID, control: undefined}, '/control', 'is required'],
+	['eight control hosts', {...VALID, control: Array.from({length: 8}, (_, index) => ({host: `h${index}`, address: '127.0.0.1', port: 1}))}, '/control', 'more than 7'],
+	['a control host named twice', {...VALID, control: [VALID.control[0], VALID.control[0]]}, '/control/1/host', 'a second time'],
+	['a control host without a port', {...VALID, control: [{host: 'host-1', address: '127.0.0.1'}]}, '/control/0/port', 'is required'],
+	['an unknown log level', {...VALID, logLevel: 'loud'}, '/logLevel', 'must be one of "debug", "info"'],
+	['a limit that is too small', {...VALID, limits: {bodyBytes: 1}}, '/limits/bodyBytes', '>= 1024'],
+	['an unknown limit', {...VALID, limits: {bodyMegabytes: 1}}, '/limits/bodyMegabytes', 'is unknown'],
+	['a TLS certificate without a key', {...VALID, tls: {certificateFile: 'a.pem'}}, '/tls/keyFile', 'is required'],
+	['both listeners on one port', {...VALID, peer: VALID.http}, '/peer/port', 'must differ'],
 	['a list', [], '/', 'object'],
 ];
 
-test('right settings are taken', () => {
-	assert.ok(Either.isRight(validateSettings(structuredClone(RIGHT))));
+test('valid settings are accepted', () => {
+	assert.ok(Either.isRight(validateSettings(structuredClone(VALID))));
 });
 
-for (const [title, value, pointer, text] of WRONG) {
-	test(`wrong settings are named by their pointer: ${title}`, () => {
-		// What is undefined must be gone, as in a file.
+for (const [title, value, pointer, text] of INVALID) {
+	test(`an invalid setting is reported with its JSON pointer: ${title}`, () => {
+		// The round trip through JSON drops undefined properties, as in a settings file.
 		const checked = validateSettings(JSON.parse(JSON.stringify(value))); // eslint-disable-line unicorn/prefer-structured-clone
 		assert.ok(Either.isLeft(checked));
 		assert.equal(checked.left.problem.code, 1002);
-		const fault = checked.left.errors.find(one => one.pointer === pointer && one.text.includes(text));
-		assert.ok(fault, JSON.stringify(checked.left.errors));
+		const match = checked.left.errors.find(error => error.pointer === pointer && error.text.includes(text));
+		assert.ok(match, JSON.stringify(checked.left.errors));
 	});
 }
 
-test('every fault of a file is named, with exit code 2 and no stack trace', async () => {
+test('every invalid setting of a file is reported, with exit code 2 and without a stack trace', async () => {
 	const folder = await mkdtemp(path.join(os.tmpdir(), 'settings-'));
-	const file = path.join(folder, 'wrong.json');
-	await writeFile(file, JSON.stringify({...RIGHT, colour: 'red', http: {address: '127.0.0.1', port: -1}}));
+	const file = path.join(folder, 'invalid.json');
+	await writeFile(file, JSON.stringify({...VALID, colour: 'red', http: {address: '127.0.0.1', port: -1}}));
 	for (const option of ['--check', '--settings']) {
-		const {code, stderr} = await fails([option, file]);
+		const {code, stderr} = await runDaemon([option, file]);
 		assert.equal(code, 2);
 		assert.match(stderr, /1002/v);
 		assert.match(stderr, /\/colour is unknown/v);
@@ -78,14 +78,14 @@
 	}
 
 	await writeFile(file, '{"host": ');
-	assert.equal((await fails(['--check', file])).code, 2);
-	assert.equal((await fails(['--check', path.join(folder, 'missing.json')])).code, 2);
-	assert.equal((await fails(['--loud'])).code, 2);
-	assert.equal((await fails([])).code, 2);
+	assert.equal((await runDaemon(['--check', file])).code, 2);
+	assert.equal((await runDaemon(['--check', path.join(folder, 'missing.json')])).code, 2);
+	assert.equal((await runDaemon(['--loud'])).code, 2);
+	assert.equal((await runDaemon([])).code, 2);
 	await rm(folder, {recursive: true});
 });
 
-test('the ready-made settings are right', async () => {
+test('the settings in examples/ are valid', async () => {
 	const names = await readdir(path.join(ROOT, 'examples'), {recursive: true});
 	const files = names.filter(name => /host-\d+\.json$/v.test(name));
 	assert.ok(files.length >= 13 + 14 + 3);
@@ -94,14 +94,14 @@
 	}
 });
 
-test('help and version', async () => {
+test('the daemon prints its help and version', async () => {
 	const help = await execute(process.execPath, [DAEMON, '--help']);
 	assert.match(help.stdout, /--settings FILE/v);
 	const version = await execute(process.execPath, [DAEMON, '--version']);
 	assert.match(version.stdout, /^carawayhoistd \d+\.\d+\.\d+\n$/v);
 });
 
-async function fails(commandLine: readonly string[]): Promise<{code: number; stderr: string}> {
+async function runDaemon(commandLine: readonly string[]): Promise<{code: number; stderr: string}> {
 	try {
 		await execute(process.execPath, [DAEMON, ...commandLine]);
 		return {code: 0, stderr: ''};
