--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -20,7 +20,7 @@
 import {ControlHost} from '../src/daemon/controlhost.js';
 import {EntryHost} from '../src/daemon/entryhost.js';
 import {createServingMetrics} from '../src/serving/metrics.js';
-import {Standin, type StandinOptions} from './standin.js';
+import {StubBackend, type StubBackendOptions} from './stub.js';
 
 const ROOT = path.resolve(import.meta.dirname, '../..');
 const ROUTES = [
@@ -48,7 +48,7 @@
 	const system = await startSystem(t, [{id: 'p1', service: 'plain'}]);
 	const answer = await system.call('/read/1?x=%20y', {'carawayhoist-kv-hold': 'mine', 'x-other': 'kept', 'carawayhoist-deadline-ms': '500'});
 	assert.deepEqual({status: answer.status, text: answer.text}, {status: 200, text: `plain ${answer.id}`});
-	const {path: requestTarget, headers} = system.servers[0]!.arrivals[0]!;
+	const {path: requestTarget, headers} = system.servers[0]!.receivedRequests[0]!;
 	assert.equal(requestTarget, '/read/1?x=%20y');
 	assert.equal(headers['carawayhoist-kv-hold'], undefined);
 	assert.equal(headers['x-other'], 'kept');
@@ -62,14 +62,14 @@
 	assert.equal(answer.status, 200);
 	assert.equal(answer.text.match(/^id: /gmv)?.length, 4);
 	const [prefillEngine, decodeEngine] = system.servers;
-	assert.equal(prefillEngine!.arrivals[0]?.headers['carawayhoist-serving-stage'], 'prefill');
-	assert.equal(decodeEngine!.arrivals[0]?.headers['carawayhoist-kv-source'], `${prefillEngine!.address}/h1`);
-	assert.equal(decodeEngine!.arrivals[0]?.body, 'prompt');
+	assert.equal(prefillEngine!.receivedRequests[0]?.headers['carawayhoist-serving-stage'], 'prefill');
+	assert.equal(decodeEngine!.receivedRequests[0]?.headers['carawayhoist-kv-source'], `${prefillEngine!.address}/h1`);
+	assert.equal(decodeEngine!.receivedRequests[0]?.body, 'prompt');
 });
 
 test('a resumable stream that breaks off inside an event continues at another engine, without missing or repeated events', async t => {
 	let broken = 0;
-	const breakOnce: StandinOptions['intercept'] = (request, response) => {
+	const breakOnce: StubBackendOptions['intercept'] = (request, response) => {
 		if (broken > 0 || request.headers['last-event-id'] !== undefined) {
 			return false;
 		}
@@ -100,7 +100,7 @@
 	})));
 	const answer = await system.call('/book/1', {}, 'seat');
 	assert.equal(answer.status, 502);
-	assert.equal(system.servers.reduce((sum, server) => sum + server.arrivals.length, 0), 1);
+	assert.equal(system.servers.reduce((sum, server) => sum + server.receivedRequests.length, 0), 1);
 });
 
 test('a response that says the request was not executed is passed on with its status and a retry-after header', async t => {
@@ -144,7 +144,7 @@
 test('a repeatable request is retried at another server after the first one fails', async t => {
 	const system = await startSystem(t, ['p1', 'p2'].map(id => ({
 		id, service: 'plain', intercept(_request, response) {
-			const isFirst = system.servers.reduce((sum, server) => sum + server.arrivals.length, 0) === 1;
+			const isFirst = system.servers.reduce((sum, server) => sum + server.receivedRequests.length, 0) === 1;
 			if (isFirst) {
 				response.socket?.resetAndDestroy();
 			}
@@ -161,7 +161,7 @@
 		assert.equal((await system.call('/read/1')).status, 200);
 	}
 
-	const {values} = await system.metrics.repeats.get();
+	const {values} = await system.metrics.retries.get();
 	assert.equal(values.reduce((sum, {value}) => sum + value, 0), 0);
 });
 
@@ -183,12 +183,12 @@
 	const system = await startSystem(t, [{id: 'p1', service: 'plain'}, {id: 'p2', service: 'plain'}]);
 	assert.equal(await system.servers[0]!.announce(system.control, 'draining'), 200);
 	await waitUntil(async () => !system.entry.listServers().includes('p1'), 'p1 is out of use');
-	system.servers[0]!.arrivals.length = 0;
+	system.servers[0]!.receivedRequests.length = 0;
 	for (let index = 0; index < 20; index++) {
 		assert.equal((await system.call('/read/1')).status, 200);
 	}
 
-	assert.equal(system.servers[0]!.arrivals.length, 0);
+	assert.equal(system.servers[0]!.receivedRequests.length, 0);
 });
 
 test('the configuration with the highest version stays in force, and a second body under the same version is acknowledged but ignored', async t => {
@@ -224,7 +224,7 @@
 
 test('a resumable stream is retried at another engine when the first one fails', async t => {
 	let failures = 0;
-	const failOnce: StandinOptions['intercept'] = (request, response) => {
+	const failOnce: StubBackendOptions['intercept'] = (request, response) => {
 		if (request.headers['carawayhoist-serving-stage'] !== undefined || failures > 0) {
 			return false;
 		}
@@ -276,7 +276,7 @@
 };
 
 /** Starts one control host, one entry host and the servers, and waits until the entry host knows all servers. */
-async function startSystem(t: TestContext, options: readonly StandinOptions[]) {
+async function startSystem(t: TestContext, options: readonly StubBackendOptions[]) {
 	const folder = await mkdtemp(path.join(os.tmpdir(), 'site-'));
 	const clock = createClock();
 	const loggers = createSilentLoggers();
@@ -306,7 +306,7 @@
 	const entry = unwrap(await EntryHost.start({
 		host: 'h1', dataCentre: 'a', callerAddress: callers, seeds: [peer], clock, random: createRandom(2), loggers, protocol: dialect, metrics, retryBudget: {ratio: 0.2, allowance: 100, windowMs: 10_000}, graceMs: 1000,
 	}));
-	const servers = options.map(option => new Standin(option));
+	const servers = options.map(option => new StubBackend(option));
 	t.after(async () => {
 		entry.close();
 		closeServer(api);
