--- a/src/daemon/controlhost.ts
+++ b/src/daemon/controlhost.ts
@@ -1,5 +1,8 @@
 /**
- * A control host: the replicated state, the register of backend servers, the feed of both, and the placing of streams.
+ * Control host of the platform.
+ *
+ * It keeps the replicated control state and the registry of backend servers, feeds both to the entry hosts, and schedules
+ * streamed requests for them.
  *
  * @module
  */
@@ -31,10 +34,12 @@
 export type ControlHostOptions = {
 	readonly host: string;
 	readonly dataCentre: string;
-	/** Where the system's own processes reach this host. */
+	/** Address at which the other hosts reach this one. */
 	readonly peerAddress: Address;
 	readonly dataFolder: string;
+	/** Control hosts to contact first. */
 	readonly seeds: readonly Address[];
+	/** Whether the whole system starts for the first time, so that the initial configuration may be created. */
 	readonly firstStart: boolean;
 	readonly clock: Clock;
 	readonly random: Random;
@@ -42,28 +47,28 @@
 	readonly metrics: ControlMetrics;
 	readonly protocol: Pick<ProtocolAdapter, 'parseRoutingConfig'>;
 	readonly createOrderTransport: (findServer: (server: string) => Announcement | undefined) => OrderTransport;
-	/** Time between the orders of two control hosts, milliseconds. */
+	/** Minimum time between orders of two different control hosts, in milliseconds. */
 	readonly leaseMs: number;
-	/** Interval of announcements, milliseconds. */
+	/** Interval between two announcements of a backend server, in milliseconds. */
 	readonly announceIntervalMs: number;
 };
 
-/** Operators turn to another host after a second without an answer. */
+/** Deadlines of operator requests. Operators try another host after one second without a response. */
 const PUBLISH_DEADLINE_MS = 3000;
 const READ_DEADLINE_MS = 900;
 const TICK_MS = 250;
-/** Announcements are missed for this many intervals before a server counts as silent. */
+/** Number of announcement intervals without an announcement after which a server counts as silent. */
 const SILENT_INTERVALS = 5;
-/** A host that has run for this many intervals has heard every live server. */
+/** Number of announcement intervals after which a started host has received an announcement of every live server. */
 const WARM_INTERVALS = 2.5;
-/** Margin on the time between the orders of two control hosts, milliseconds: transit of the last one. */
+/** Added to the minimum time between orders of two control hosts, because the last order may still be in transit. */
 const TAKEOVER_MARGIN_MS = 1000;
-/** Pause after a role change before the next one is planned, milliseconds. */
+/** Minimum time between a planned role change and the next one, in milliseconds. */
 const ROLE_CHANGE_COOLDOWN_MS = 6000;
-/** A system that starts for the first time counts as new for this long, milliseconds: before its callers come. */
+/** Duration of the startup phase of a system that starts for the first time, in milliseconds. Callers arrive later. */
 const STARTUP_MS = 10_000;
 
-/** A running control host. Whoever started it stops it. */
+/** A running control host. Whoever starts it must stop it. */
 export class ControlHost {
 	readonly registry: ServerRegistry;
 	readonly #options: ControlHostOptions;
@@ -118,7 +123,7 @@
 		this.#applyState();
 	}
 
-	/** Opens the data folder and starts. */
+	/** Starts the control service on the data folder and listens for the other hosts. */
 	static async start(options: ControlHostOptions): Promise<Either.Either<Problem, ControlHost>> {
 		const registry = new ServerRegistry({...DEFAULT_REGISTRY_TIMING, silentAfterMs: options.announceIntervalMs * SILENT_INTERVALS});
 		const holder: {host?: ControlHost} = {};
@@ -138,7 +143,7 @@
 			loggers: options.loggers,
 			orderTransport: options.createOrderTransport(server => registry.findStatus(server)?.announcement),
 			controllerTiming: {...DEFAULT_CONTROLLER_TIMING, minTakeoverMs: options.leaseMs + TAKEOVER_MARGIN_MS},
-			// Engines finish what runs before they change their role.
+			// Engines finish running requests themselves before they change their role, so orders need not wait for that.
 			orderSafeguards: {...ALL_ORDER_SAFEGUARDS, awaitViewAcknowledgements: false, awaitIdle: false},
 			listEngines: () => registry.listUsable().filter(({kind}) => kind === 'engine'),
 			onApplied() {
@@ -159,22 +164,23 @@
 		return Either.right(holder.host);
 	}
 
-	/** Whether a majority of the control hosts was in touch a moment ago. */
+	/** Whether this host was recently in contact with a majority of the control hosts. */
 	get hasQuorum(): boolean {
 		return this.#controlService.hasQuorum;
 	}
 
+	/** Addresses of all known control hosts: those that the feed reported and the members of the replicated log. */
 	listControlAddresses(): Address[] {
 		const members = this.#controlService.listMembers().map(({address, port}) => ({address, port}));
 		return [...this.#subscription.listAddresses(), ...members];
 	}
 
-	/** Takes control hosts that the settings name now. */
+	/** Applies changed settings: adds the control hosts that they name. */
 	applySettings({seeds}: Pick<ControlHostOptions, 'seeds'>): void {
 		this.#subscription.addSeeds(seeds.filter(seed => !isSameAddress(seed, this.#options.peerAddress)));
 	}
 
-	/** Takes an announcement; refused without a majority, so that the server turns to another host. */
+	/** Merges an announcement into the registry. Refuses it without a majority, so that the server tries another host. */
 	handleAnnouncement(announcement: Announcement): Either.Either<Problem, void> {
 		if (!this.#controlService.hasQuorum) {
 			this.#options.metrics.announcements.inc({outcome: 'refused'});
@@ -187,14 +193,14 @@
 		return Either.right(undefined);
 	}
 
-	/** Takes a server's leave. */
+	/** Removes a server that stops for good. Refuses without a majority, like `handleAnnouncement`. */
 	deregister(server: string): Either.Either<Problem, void> {
 		if (!this.#controlService.hasQuorum) {
 			return Either.left(createProblem('noQuorum', undefined, 1));
 		}
 
 		if (this.registry.deregister(server)) {
-			this.#logger.info(`Server ${server} leaves.`, {server});
+			this.#logger.info(`Server ${server} deregistered.`, {server});
 			this.#publisher.notify();
 			this.#updateEngines();
 		}
@@ -202,13 +208,16 @@
 		return Either.right(undefined);
 	}
 
-	/** Puts a publication in force, unless a later one is; returns once it cannot be lost any more. */
+	/**
+	 * Commits a publication to the replicated log, unless the one in force has the same or a higher version. Returns once it
+	 * is committed, so that it cannot be lost any more.
+	 */
 	async publish(text: string): Promise<Either.Either<Problem, void>> {
 		const {protocol, metrics} = this.#options;
 		const config = protocol.parseRoutingConfig(text);
 		if (Either.isLeft(config)) {
 			metrics.publications.inc({outcome: 'invalid'});
-			this.#logger.warn(`Refused a publication: ${config.left.text}`, {bytes: text.length});
+			this.#logger.warn(`Rejected an invalid publication: ${config.left.text}`, {bytes: text.length});
 			return config;
 		}
 
@@ -235,7 +244,7 @@
 		return Either.isLeft(result) ? result : Either.right(undefined);
 	}
 
-	/** Reads the publication in force now; a majority confirms it. */
+	/** Returns the publication in force. The read is linearizable: a majority confirms it. */
 	async readPublication(): Promise<Either.Either<Problem, string>> {
 		const {state} = this.#controlService;
 		const listing = await this.#controlClient.readResources(state.viewVersion, READ_DEADLINE_MS)();
@@ -248,6 +257,7 @@
 		return newest ? Either.right(newest.body) : Either.left(createProblem('notPublished'));
 	}
 
+	/** Handles a message from another host. */
 	receive(message: Message, connection: Connection): void {
 		switch (message.type) {
 			case 'watch': {
@@ -283,12 +293,12 @@
 		}
 	}
 
-	/** Follows the state that the log drives. */
+	/** Applies the control state after an entry of the replicated log was applied to it. */
 	handleStateChange(): void {
 		this.#applyState();
 	}
 
-	/** Hands leadership over, then stops. */
+	/** Transfers leadership to another control host, then closes. */
 	async stop(): Promise<void> {
 		this.#controlService.transferLeadership();
 		await this.close();
@@ -314,7 +324,7 @@
 
 	#handleMergeResult(result: MergeResult, {server, incarnation, sequence, role, leaving}: Announcement): void {
 		if (result === 'change') {
-			this.#logger.info(`Server ${server} has news.`, {
+			this.#logger.info(`Server ${server} announced a change.`, {
 				server, incarnation, sequence, role, leaving,
 			});
 			this.#publisher.notify();
@@ -331,7 +341,7 @@
 
 		const config = this.#options.protocol.parseRoutingConfig(publication.body);
 		if (Either.isLeft(config)) {
-			this.#logger.error(`Publication ${publication.version} cannot be read.`, {version: publication.version, reason: config.left.text});
+			this.#logger.error(`Publication ${publication.version} is not a valid routing configuration.`, {version: publication.version, reason: config.left.text});
 			return;
 		}
 
@@ -353,7 +363,7 @@
 	#tick(): void {
 		const silentServers = this.registry.expire(this.#options.clock.monotonicMs());
 		if (silentServers.length > 0) {
-			this.#logger.warn(`Servers are silent: ${silentServers.join(', ')}.`, {servers: silentServers});
+			this.#logger.warn(`Servers stopped announcing themselves: ${silentServers.join(', ')}.`, {servers: silentServers});
 			this.#publisher.notify();
 			this.#updateEngines();
 		}
@@ -389,7 +399,7 @@
 
 		for (const change of changes) {
 			const command = createRoleChange(`${change.server}-${state.version}`, change, {nowMs, wallMs: clock.wallMs(), leaseUntilMs: nowMs});
-			this.#logger.info(`Plans that ${change.server} becomes ${change.role}.`, change);
+			this.#logger.info(`Planned a role change: server ${change.server} becomes ${change.role}.`, change);
 			this.#options.metrics.roleChanges.inc({role: change.role});
 			await this.#controlService.propose(command);
 		}
--- a/src/daemon/entryhost.ts
+++ b/src/daemon/entryhost.ts
@@ -1,5 +1,5 @@
 /**
- * An entry host: serves callers by what the control hosts feed it.
+ * Entry host of the platform: serves callers with the configuration and the servers that the control hosts feed to it.
  *
  * @module
  */
@@ -28,7 +28,9 @@
 export type EntryHostOptions = {
 	readonly host: string;
 	readonly dataCentre: string;
+	/** Address to listen on for callers. */
 	readonly callerAddress: Address;
+	/** Control hosts to contact first. */
 	readonly seeds: readonly Address[];
 	readonly clock: Clock;
 	readonly random: Random;
@@ -36,17 +38,17 @@
 	readonly protocol: ProtocolAdapter;
 	readonly metrics: ServingMetrics;
 	readonly retryBudget: RetryBudgetLimits;
-	/** Time from the signal to stop to the end of the process, milliseconds. */
+	/** Time from SIGTERM until the process must have exited, in milliseconds. */
 	readonly graceMs: number;
 };
 
-/** The balancer asks once a second and turns away after two answers that are not ready. */
+/** The load balancer checks readiness once per second and sends no more callers after two failed checks. */
 const LOAD_BALANCER_DELAY_MS = 2500;
-/** What is left of the time to stop when the last requests are broken off, milliseconds. */
+/** Time before the end of the grace period at which the remaining requests are aborted, in milliseconds. */
 const STOP_MARGIN_MS = 400;
 const POLL_MS = 50;
 
-/** A running entry host. Whoever started it stops it. */
+/** A running entry host. Whoever starts it must stop it. */
 export class EntryHost {
 	readonly #options: EntryHostOptions;
 	readonly #logger: Logger;
@@ -102,7 +104,7 @@
 		this.#gateway = new Gateway({context, getRouteTable: () => this.#routeTable});
 	}
 
-	/** Listens for callers and subscribes to the control hosts. */
+	/** Starts listening for callers and subscribes to the feeds of the control hosts. */
 	static async start(options: EntryHostOptions): Promise<Either.Either<Problem, EntryHost>> {
 		const host = new EntryHost(options);
 		const listening = await host.#gateway.listen(options.callerAddress);
@@ -114,28 +116,28 @@
 		return Either.right(host);
 	}
 
-	/** Whether callers should come here. */
+	/** Whether this host can serve callers: it knows the routes and at least one usable server, and is not stopping. */
 	get isReady(): boolean {
 		return !this.#isStopping && this.#routeTable !== undefined && this.#discovery.listUsable().length > 0;
 	}
 
-	/** Takes what may change while it runs: control hosts to know, and the budget of repeats. */
+	/** Applies the settings that may change at run time: additional control hosts and the retry budget. */
 	applySettings({seeds, retryBudget}: Pick<EntryHostOptions, 'seeds' | 'retryBudget'>): void {
 		this.#subscription.addSeeds(seeds);
 		this.#retryBudget.updateLimits(retryBudget);
 	}
 
-	/** Names of the servers that take new work, as this host sees it. */
+	/** Ids of the servers that take new requests, as far as this host knows. */
 	listServers(): string[] {
 		return this.#discovery.listUsable().map(({server}) => server);
 	}
 
-	/** Takes no new callers, finishes what runs, and stops; cuts nothing within its time. */
+	/** Stops accepting callers, waits for the running requests until shortly before the grace period ends, then closes. */
 	async stop(): Promise<void> {
 		const {clock, graceMs} = this.#options;
 		const startedMs = clock.monotonicMs();
 		this.#isStopping = true;
-		this.#logger.info('Stops: not ready any more.', {active: this.#gateway.activeCount});
+		this.#logger.info('Shutting down: reporting not ready.', {active: this.#gateway.activeCount});
 		this.#gateway.startDraining();
 		await sleep(Math.min(LOAD_BALANCER_DELAY_MS, graceMs / 2));
 		this.#gateway.stopAccepting();
@@ -143,7 +145,7 @@
 			await sleep(POLL_MS);
 		}
 
-		this.#logger.info('Stopped.', {active: this.#gateway.activeCount});
+		this.#logger.info('Shutdown complete.', {active: this.#gateway.activeCount});
 		this.close();
 	}
 
@@ -174,12 +176,12 @@
 		const text = inflatePublication(bytes);
 		const config = Either.isLeft(text) ? text : this.#options.protocol.parseRoutingConfig(text.right);
 		if (Either.isLeft(config)) {
-			this.#logger.error(`Publication ${version} cannot be read.`, {version, control, reason: config.left.text});
+			this.#logger.error(`Publication ${version} is not a valid routing configuration.`, {version, control, reason: config.left.text});
 			return;
 		}
 
 		this.#routeTable = new RouteTable(config.right);
 		this.#gateway.applyLimits(config.right.limits);
-		this.#logger.info(`Publication ${version} is in force here.`, {version, control, routes: config.right.routes.length});
+		this.#logger.info(`Applied publication ${version}.`, {version, control, routes: config.right.routes.length});
 	}
 }
--- a/src/daemon/host.ts
+++ b/src/daemon/host.ts
@@ -1,5 +1,5 @@
 /**
- * One process: the roles that its settings name, joined together, started and stopped.
+ * One host of the daemon: creates, connects, starts and stops the roles that its settings name.
  *
  * @module
  */
@@ -44,11 +44,11 @@
 const DEFAULT_HEADER_BYTES = 16_384;
 const DEFAULT_BODY_TIMEOUT_MS = 10_000;
 const DEFAULT_SHUTDOWN_MS = 600_000;
-/** How long the platform's balancer may need to see that this host is not ready. */
+/** Time that the load balancer may need to notice that this host is not ready. */
 const LOAD_BALANCER_DELAY_MS = 1000;
 const POLL_MS = 50;
 
-/** A running process. Whoever started it stops it. */
+/** A running host. Whoever starts it must stop it. */
 export class Host {
 	readonly #options: HostOptions;
 	readonly #boot = randomUUID();
@@ -66,7 +66,7 @@
 		});
 	}
 
-	/** Starts the roles; a problem leaves nothing running. */
+	/** Starts the roles. If one of them fails to start, everything started before is closed. */
 	async start(): Promise<Either.Either<Problem, HostPorts>> {
 		const {settings, loggers} = this.#options;
 		const peerPort = await this.#listener.listen(settings.peer);
@@ -98,14 +98,14 @@
 		return this.#startEntry(peerPort.right);
 	}
 
-	/** Finishes what runs, hands over, and stops; cuts nothing within the time that the settings allow. */
+	/** Shuts down gracefully: transfers leadership, drains the entry role within `limits.shutdownMs`, then closes. */
 	async stop(): Promise<void> {
 		const logger = this.#options.loggers('daemon');
-		logger.info('Stops: not ready any more.');
+		logger.info('Shutting down: reporting not ready.');
 		this.#control?.transferLeadership();
 		await this.#entry?.drain(this.#options.settings.limits?.shutdownMs ?? DEFAULT_SHUTDOWN_MS);
 		await this.close();
-		logger.info('Stopped.');
+		logger.info('Shutdown complete.');
 	}
 
 	async close(): Promise<void> {
@@ -164,7 +164,7 @@
 	readonly peerPort: number;
 };
 
-/** The entry role of a process. */
+/** The entry role of a host: serves callers, operators and announcements of backend servers over HTTP. */
 class EntryRole {
 	readonly #options: EntryRoleOptions;
 	readonly #engineClient = new EngineClient();
@@ -284,7 +284,7 @@
 		return this.#viewTask.ageMs;
 	}
 
-	/** Engines that are announced and not leaving. */
+	/** Announced engines that take new work. */
 	listEngines(): Announcement[] {
 		return this.#directory.listServers(this.#options.clock.monotonicMs())
 			.filter(({kind, leaving}) => kind === 'engine' && leaving !== true);
@@ -294,7 +294,7 @@
 		this.#gossip?.receive(message);
 	}
 
-	/** Leaves the fleet: not ready, no new connection, then waits for what runs. */
+	/** Reports not ready, tells the other hosts that it leaves, waits for the running requests and releases the view lease. */
 	async drain(timeoutMs: number): Promise<void> {
 		const {clock} = this.#options;
 		const deadlineMs = clock.monotonicMs() + timeoutMs;
@@ -348,6 +348,7 @@
 		});
 	}
 
+	/** Appends a finished request to the capture file, if there is one. */
 	#writeCapture(record: FinishedRequest): void {
 		this.#captureStream?.write(`${JSON.stringify(record)}\n`);
 	}
