--- a/src/tool/carawayhoist.ts
+++ b/src/tool/carawayhoist.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The operators' command line.
+ * Command line for operators.
  *
  * @module
  */
@@ -23,36 +23,39 @@
 const POLL_MS = 200;
 const DEFAULT_HOST = 'http://127.0.0.1:8080';
 
-const HELP = `carawayhoist: operates a fleet through any of its entry hosts.
+const HELP = `carawayhoist: manages a system through any of its entry hosts.
 
 Usage:
-  carawayhoist get [KIND [NAME]]             resources: service, model, engine, team, policy, change
-  carawayhoist apply -f FILE                 put the resources of a JSON file (one, or a list)
-  carawayhoist delete KIND NAME [--seen V]
-  carawayhoist watch [--from V]              follow changes, a line each
-  carawayhoist status                        hosts and backend servers
-  carawayhoist drain SERVER [--wait]         take no new work there; runs finish
-  carawayhoist role SERVER ROLE [--wait]     give an engine the role prefill, decode or mixed
+  carawayhoist get [KIND [NAME]]             list resources, or show one; kinds: service, model, engine,
+                                             team, policy, change
+  carawayhoist apply -f FILE                 create or update the resources in a JSON file (one, or a list)
+  carawayhoist delete KIND NAME [--seen V]   delete a resource
+  carawayhoist watch [--from V]              print each change of a resource as it happens
+  carawayhoist status                        show hosts and backend servers
+  carawayhoist drain SERVER [--wait]         send no new requests to a server; running ones finish
+  carawayhoist role SERVER ROLE [--wait]     change the role of an engine to prefill, decode or mixed
   carawayhoist load SERVER MODEL [VERSION] [--wait]
-  carawayhoist withdraw SERVER [--wait]
+                                             load a model on an engine
+  carawayhoist withdraw SERVER [--wait]      take a server out of service
   carawayhoist replace SERVER REPLACEMENT [--wait]
-  carawayhoist explain REQUEST-ID|CHANGE     what happened, as a plain story
-  carawayhoist control members
+                                             replace a server by another one
+  carawayhoist explain REQUEST-ID|CHANGE     show what happened to a request or a planned change
+  carawayhoist control members               show the control hosts and the state of their replicas
   carawayhoist control add HOST ADDRESS PORT
   carawayhoist control remove REPLICA
   carawayhoist control replace REPLICA HOST ADDRESS PORT
 
 Options:
-  --host URL       entry host; repeat it to name others that are asked when one does not answer
-                   (default $CARAWAYHOIST_HOST or ${DEFAULT_HOST})
-  --key KEY        operator key (default $CARAWAYHOIST_KEY)
-  --name NAME      name of the planned change (default: made up)
-  --seen VERSION   the version you saw; the call fails if it is another by now
-  --output json    for programs
+  --host URL       entry host; repeat it to name others to try if one does not respond
+                   (default: $CARAWAYHOIST_HOST or ${DEFAULT_HOST})
+  --key KEY        operator key (default: $CARAWAYHOIST_KEY)
+  --name NAME      name of the planned change (default: generated)
+  --seen VERSION   expected version of the resource; fail if the current one differs
+  --output json    print JSON instead of text
   --wait           wait until the change is finished
   --help, --version
 
-Exit codes: 0 done, 1 refused or failed (the code is printed), 2 wrong command line.
+Exit codes: 0 success, 1 refused or failed (the error code is printed), 2 invalid command line.
 `;
 
 type Options = {
@@ -64,14 +67,14 @@
 	readonly from: number;
 };
 
-type Listing = {readonly version: number; readonly resources: Resource[]};
+type ResourceListing = {readonly version: number; readonly resources: Resource[]};
 
 await main();
 
 async function main(): Promise<void> {
 	const parsed = readArguments();
 	if (Either.isLeft(parsed)) {
-		failUsage(parsed.left.text);
+		printUsageError(parsed.left.text);
 		return;
 	}
 
@@ -87,8 +90,8 @@
 	}
 
 	const hosts = values.host ?? [process.env.CARAWAYHOIST_HOST ?? DEFAULT_HOST];
-	const api = new ApiClient({hosts, key: values.key ?? process.env.CARAWAYHOIST_KEY});
-	const problem = await run(api, positionals, {
+	const client = new ApiClient({hosts, key: values.key ?? process.env.CARAWAYHOIST_KEY});
+	const problem = await runCommand(client, positionals, {
 		json: values.output === 'json',
 		wait: values.wait ?? false,
 		file: values.file,
@@ -96,7 +99,7 @@
 		seen: Number(values.seen ?? -1),
 		from: Number(values.from ?? -1),
 	});
-	await api.close();
+	await client.close();
 	if (problem) {
 		process.stderr.write(`carawayhoist: ${problem.code} ${problem.text}\n`);
 		process.exitCode = problem.name === 'usage' ? EXIT_USAGE : EXIT_FAILED;
@@ -121,27 +124,27 @@
 	}), error => createProblem('usage', error instanceof Error ? error.message : String(error)));
 }
 
-async function run(api: ApiClient, positionals: readonly string[], options: Options): Promise<Problem | undefined> {
+async function runCommand(client: ApiClient, positionals: readonly string[], options: Options): Promise<Problem | undefined> {
 	const [command = '', ...rest] = positionals;
 	switch (command) {
 		case 'get': {
-			return get(api, rest, options);
+			return getResources(client, rest, options);
 		}
 
 		case 'apply': {
-			return apply(api, options);
+			return applyFile(client, options);
 		}
 
 		case 'delete': {
-			return remove(api, rest, options);
+			return deleteResource(client, rest, options);
 		}
 
 		case 'watch': {
-			return watch(api, options);
+			return watchResources(client, options);
 		}
 
 		case 'status': {
-			return status(api, options);
+			return printStatus(client, options);
 		}
 
 		case 'drain':
@@ -149,39 +152,39 @@
 		case 'role':
 		case 'load':
 		case 'replace': {
-			return change(api, command, {rest, options});
+			return declareChange(client, command, {rest, options});
 		}
 
 		case 'explain': {
-			return explain(api, rest, options);
+			return printExplanation(client, rest, options);
 		}
 
 		case 'control': {
-			return control(api, rest, options);
+			return manageControlMembers(client, rest, options);
 		}
 
 		default: {
-			return createProblem('usage', command === '' ? 'Name a command.' : `No command ${command}.`);
+			return createProblem('usage', command === '' ? 'A command is missing.' : `Unknown command: ${command}.`);
 		}
 	}
 }
 
-async function get(api: ApiClient, [kind, name]: readonly string[], options: Options): Promise<Problem | undefined> {
+async function getResources(client: ApiClient, [kind, name]: readonly string[], options: Options): Promise<Problem | undefined> {
 	const path = ['resources', kind, name].filter(part => part !== undefined).join('/');
 	if (name !== undefined) {
-		const resource = await api.request<Resource>({method: 'GET', path});
-		return print(resource, options, found => `${JSON.stringify(found, undefined, 2)}\n`);
+		const resource = await client.request<Resource>({method: 'GET', path});
+		return printResult(resource, options, found => `${JSON.stringify(found, undefined, 2)}\n`);
 	}
 
-	const listing = await api.request<Listing>({method: 'GET', path});
-	return print(listing, options, ({resources}) => formatTable(['KIND', 'NAME', 'VERSION', 'STATE'], resources.map(resource => [
-		resource.specification.kind, resource.name, String(resource.version), resource.status?.phase ?? describeSpecification(resource.specification),
+	const listing = await client.request<ResourceListing>({method: 'GET', path});
+	return printResult(listing, options, ({resources}) => formatTable(['KIND', 'NAME', 'VERSION', 'STATE'], resources.map(resource => [
+		resource.specification.kind, resource.name, String(resource.version), resource.status?.phase ?? formatSpecification(resource.specification),
 	])));
 }
 
-async function apply(api: ApiClient, options: Options): Promise<Problem | undefined> {
+async function applyFile(client: ApiClient, options: Options): Promise<Problem | undefined> {
 	if (options.file === undefined) {
-		return createProblem('usage', 'Name a file with -f.');
+		return createProblem('usage', 'apply needs a file: -f FILE.');
 	}
 
 	const documents = await readDocuments(options.file);
@@ -190,10 +193,10 @@
 	}
 
 	for (const {name, seen, specification} of documents.right) {
-		const answer = await api.request<{version: number}>({
+		const result = await client.request<{version: number}>({
 			method: 'PUT', path: `resources/${specification.kind}/${encodeURIComponent(name)}`, body: {seen: seen ?? options.seen, specification}, requestId: randomUUID(),
 		});
-		const problem = print(answer, options, ({version}) => `${specification.kind} ${name} has version ${version}.\n`);
+		const problem = printResult(result, options, ({version}) => `${specification.kind} ${name} has version ${version}.\n`);
 		if (problem) {
 			return problem;
 		}
@@ -202,54 +205,55 @@
 	return undefined;
 }
 
-type Document = {readonly name: string; readonly seen?: number; readonly specification: Specification};
+/** One resource in the file of `apply`. */
+type ResourceDocument = {readonly name: string; readonly seen?: number; readonly specification: Specification};
 
-async function readDocuments(file: string): Promise<Either.Either<Problem, Document[]>> {
+async function readDocuments(file: string): Promise<Either.Either<Problem, ResourceDocument[]>> {
 	try {
-		const value = JSON.parse(await readFile(file, 'utf8')) as Document | Document[];
+		const value = JSON.parse(await readFile(file, 'utf8')) as ResourceDocument | ResourceDocument[];
 		const documents = Array.isArray(value) ? value : [value];
-		const isRight = documents.every(document => typeof document.name === 'string' && typeof document.specification?.kind === 'string');
-		return isRight ? Either.right(documents) : Either.left(createProblem('usage', `${file}: each resource needs name and specification.kind.`));
+		const isValid = documents.every(document => typeof document.name === 'string' && typeof document.specification?.kind === 'string');
+		return isValid ? Either.right(documents) : Either.left(createProblem('usage', `${file}: every resource needs a name and a specification.kind.`));
 	} catch (error) {
 		return Either.left(createProblem('usage', `${file}: ${error instanceof Error ? error.message : String(error)}`));
 	}
 }
 
-async function remove(api: ApiClient, [kind, name]: readonly string[], options: Options): Promise<Problem | undefined> {
+async function deleteResource(client: ApiClient, [kind, name]: readonly string[], options: Options): Promise<Problem | undefined> {
 	if (kind === undefined || name === undefined) {
-		return createProblem('usage', 'Name a kind and a resource.');
+		return createProblem('usage', 'delete needs the kind and the name of a resource.');
 	}
 
-	const answer = await api.request<{version: number}>({
+	const result = await client.request<{version: number}>({
 		method: 'DELETE', path: `resources/${kind}/${encodeURIComponent(name)}?seen=${options.seen}`, requestId: randomUUID(),
 	});
-	return print(answer, options, ({version}) => `${kind} ${name} is deleted at version ${version}.\n`);
+	return printResult(result, options, ({version}) => `${kind} ${name} is deleted at version ${version}.\n`);
 }
 
-async function watch(api: ApiClient, options: Options): Promise<Problem | undefined> {
-	const isAnswered = await api.streamLines(`watch?from=${options.from}`, line => {
-		process.stdout.write(options.json ? `${line}\n` : describeUpdate(JSON.parse(line) as ViewUpdate));
+async function watchResources(client: ApiClient, options: Options): Promise<Problem | undefined> {
+	const hasResponse = await client.streamLines(`watch?from=${options.from}`, line => {
+		process.stdout.write(options.json ? `${line}\n` : formatUpdate(JSON.parse(line) as ViewUpdate));
 	});
-	return isAnswered ? undefined : createProblem('noServer', 'No entry host answers.');
+	return hasResponse ? undefined : createProblem('noServer', 'No entry host answers.');
 }
 
-function describeUpdate(update: ViewUpdate): string {
+function formatUpdate(update: ViewUpdate): string {
 	const changed = update.resources.map(({name, version, specification, status}) =>
-		`${version}  ${specification.kind} ${name}  ${status?.history.at(-1)?.note ?? describeSpecification(specification)}\n`);
+		`${version}  ${specification.kind} ${name}  ${status?.history.at(-1)?.note ?? formatSpecification(specification)}\n`);
 	const removed = update.removed.map(key => `${update.version}  ${key} deleted\n`);
 	return [...changed, ...removed].join('');
 }
 
-type Status = {
+type StatusResponse = {
 	readonly host: string;
 	readonly version: number;
 	readonly servers: ReadonlyArray<Announcement & {change: string | null}>;
 	readonly hosts: ReadonlyArray<{peer: Peer; dataCentre: string; leaving: boolean}>;
 };
 
-async function status(api: ApiClient, options: Options): Promise<Problem | undefined> {
-	const answer = await api.request<Status>({method: 'GET', path: 'status'});
-	return print(answer, options, ({host, version, servers, hosts}) => [
+async function printStatus(client: ApiClient, options: Options): Promise<Problem | undefined> {
+	const result = await client.request<StatusResponse>({method: 'GET', path: 'status'});
+	return printResult(result, options, ({host, version, servers, hosts}) => [
 		`Host ${host} has configuration ${version} in force.\n\n`,
 		formatTable(['SERVER', 'KIND', 'ROLE', 'SERVES', 'RUNNING', 'WAITING', 'STATE'], servers.map(server => [
 			server.server,
@@ -267,46 +271,46 @@
 	].join(''));
 }
 
-async function change(api: ApiClient, action: ChangeSpecification['action'], {rest, options}: {rest: readonly string[]; options: Options}): Promise<Problem | undefined> {
+async function declareChange(client: ApiClient, action: ChangeSpecification['action'], {rest, options}: {rest: readonly string[]; options: Options}): Promise<Problem | undefined> {
 	const specification = createChange(action, rest);
 	if (Either.isLeft(specification)) {
 		return specification.left;
 	}
 
 	const name = options.name ?? `${action}-${specification.right.server}-${randomUUID().slice(0, 8)}`;
-	const answer = await api.request<{version: number}>({
+	const result = await client.request<{version: number}>({
 		method: 'PUT', path: `resources/change/${encodeURIComponent(name)}`, body: {seen: 0, specification: specification.right}, requestId: randomUUID(),
 	});
-	const problem = print(answer, options, ({version}) => `Change ${name} is declared at version ${version}.\n`);
-	return problem ?? (options.wait ? waitFor(api, name, options) : undefined);
+	const problem = printResult(result, options, ({version}) => `Change ${name} is declared at version ${version}.\n`);
+	return problem ?? (options.wait ? waitForChange(client, name, options) : undefined);
 }
 
-function createChange(action: ChangeSpecification['action'], [server, first, second]: readonly string[]): Either.Either<Problem, ChangeSpecification> {
+function createChange(action: ChangeSpecification['action'], [server, firstArgument, secondArgument]: readonly string[]): Either.Either<Problem, ChangeSpecification> {
 	if (server === undefined) {
 		return Either.left(createProblem('usage', `${action} needs a server.`));
 	}
 
-	const needsMore = action === 'role' || action === 'load' || action === 'replace';
-	if (needsMore && first === undefined) {
+	const needsArgument = action === 'role' || action === 'load' || action === 'replace';
+	if (needsArgument && firstArgument === undefined) {
 		return Either.left(createProblem('usage', `${action} needs one more argument.`));
 	}
 
 	switch (action) {
 		case 'role': {
 			return Either.right({
-				kind: 'change', action, server, role: first as ChangeSpecification['role'],
+				kind: 'change', action, server, role: firstArgument as ChangeSpecification['role'],
 			});
 		}
 
 		case 'load': {
 			return Either.right({
-				kind: 'change', action, server, model: first, ...(second === undefined ? {} : {modelVersion: second}),
+				kind: 'change', action, server, model: firstArgument, ...(secondArgument === undefined ? {} : {modelVersion: secondArgument}),
 			});
 		}
 
 		case 'replace': {
 			return Either.right({
-				kind: 'change', action, server, replacement: first,
+				kind: 'change', action, server, replacement: firstArgument,
 			});
 		}
 
@@ -317,18 +321,19 @@
 	}
 }
 
-async function waitFor(api: ApiClient, name: string, options: Options): Promise<Problem | undefined> {
-	let told = 0;
+/** Prints the history of a planned change until it is done or failed; a drain is finished once the server is drained. */
+async function waitForChange(client: ApiClient, name: string, options: Options): Promise<Problem | undefined> {
+	let printedSteps = 0;
 	for (;;) {
-		const resource = await api.request<Resource>({method: 'GET', path: `resources/change/${encodeURIComponent(name)}`});
+		const resource = await client.request<Resource>({method: 'GET', path: `resources/change/${encodeURIComponent(name)}`});
 		if (Either.isLeft(resource) && resource.left.name !== 'noQuorum') {
 			return resource.left;
 		}
 
 		const {status: progress, specification} = Either.isRight(resource) ? resource.right : {};
-		for (const step of progress?.history.slice(told) ?? []) {
+		for (const step of progress?.history.slice(printedSteps) ?? []) {
 			process.stdout.write(options.json ? `${JSON.stringify(step)}\n` : `  ${step.phase}: ${step.note}\n`);
-			told++;
+			printedSteps++;
 		}
 
 		const isDrain = (specification as ChangeSpecification | undefined)?.action === 'drain';
@@ -346,16 +351,16 @@
 	}
 }
 
-async function explain(api: ApiClient, [subject]: readonly string[], options: Options): Promise<Problem | undefined> {
+async function printExplanation(client: ApiClient, [subject]: readonly string[], options: Options): Promise<Problem | undefined> {
 	if (subject === undefined) {
-		return createProblem('usage', 'Name a request or a change.');
+		return createProblem('usage', 'explain needs a request id or the name of a change.');
 	}
 
-	const story = await api.request<Explanation>({method: 'GET', path: `explain/${encodeURIComponent(subject)}`});
-	return print(story, options, formatExplanation);
+	const explanation = await client.request<Explanation>({method: 'GET', path: `explain/${encodeURIComponent(subject)}`});
+	return printResult(explanation, options, formatExplanation);
 }
 
-type MembersAnswer = {
+type MembersResponse = {
 	readonly configuration: Configuration;
 	readonly leader: string;
 	readonly term: number;
@@ -364,20 +369,20 @@
 	readonly progress: readonly ReplicaProgress[];
 };
 
-async function control(api: ApiClient, [action, ...rest]: readonly string[], options: Options): Promise<Problem | undefined> {
-	const body = createMembersCall(action, rest);
+async function manageControlMembers(client: ApiClient, [action, ...rest]: readonly string[], options: Options): Promise<Problem | undefined> {
+	const body = createMembersRequest(action, rest);
 	if (Either.isLeft(body)) {
 		return body.left;
 	}
 
-	const call = body.right === undefined
+	const request = body.right === undefined
 		? {method: 'GET', path: 'members'} as const
 		: {method: 'POST', path: 'members', body: body.right} as const;
-	const answer = await api.request<MembersAnswer>(call);
-	return print(answer, options, describeMembers);
+	const result = await client.request<MembersResponse>(request);
+	return printResult(result, options, formatMembers);
 }
 
-function createMembersCall(action: string | undefined, rest: readonly string[]): Either.Either<Problem, unknown> {
+function createMembersRequest(action: string | undefined, rest: readonly string[]): Either.Either<Problem, unknown> {
 	const createMember = ([host, address, port]: readonly string[]) => ({host, address, port: Number(port)});
 	switch (action) {
 		case 'members': {
@@ -397,41 +402,41 @@
 		}
 
 		default: {
-			return Either.left(createProblem('usage', 'control members|add|remove|replace'));
+			return Either.left(createProblem('usage', 'control needs one of: members, add, remove, replace.'));
 		}
 	}
 }
 
-function describeMembers(answer: MembersAnswer): string {
-	const {configuration, progress} = answer;
+function formatMembers(result: MembersResponse): string {
+	const {configuration, progress} = result;
 	const rows = [
-		...configuration.voters.map(member => ({member, role: member.replica === answer.leader ? 'leader' : 'voter'})),
+		...configuration.voters.map(member => ({member, role: member.replica === result.leader ? 'leader' : 'voter'})),
 		...configuration.outgoing.filter(member => !configuration.voters.some(voter => voter.replica === member.replica)).map(member => ({member, role: 'leaving voter'})),
 		...configuration.learners.map(member => ({member, role: 'learner'})),
 	].map(({member, role}) => {
-		const own = progress.find(({replica}) => replica === member.replica);
-		const behind = answer.commitIndex - (own?.matchIndex ?? 0);
-		return [member.replica, member.host, `${member.address}:${member.port}`, role, own?.alive ? 'alive' : 'silent', behind <= 0 ? 'complete' : `${behind} entries behind`];
+		const memberProgress = progress.find(({replica}) => replica === member.replica);
+		const missingEntries = result.commitIndex - (memberProgress?.matchIndex ?? 0);
+		return [member.replica, member.host, `${member.address}:${member.port}`, role, memberProgress?.alive ? 'alive' : 'silent', missingEntries <= 0 ? 'complete' : `${missingEntries} entries behind`];
 	});
-	const repair = answer.repair === undefined ? 'No repair is under way.' : `Not finished: ${answer.repair}.`;
-	return `${formatTable(['REPLICA', 'HOST', 'PEER', 'ROLE', 'STATE', 'LOG'], rows)}\n${repair} Term ${answer.term}, committed ${answer.commitIndex}.\n`;
+	const repair = result.repair === undefined ? 'No repair is under way.' : `Not finished: ${result.repair}.`;
+	return `${formatTable(['REPLICA', 'HOST', 'PEER', 'ROLE', 'STATE', 'LOG'], rows)}\n${repair} Term ${result.term}, committed ${result.commitIndex}.\n`;
 }
 
-function describeSpecification(specification: Specification): string {
+function formatSpecification(specification: Specification): string {
 	const {kind: _kind, ...rest} = specification;
 	return JSON.stringify(rest);
 }
 
-function print<Answer>(answer: Either.Either<Problem, Answer>, options: Options, format: (answer: Answer) => string): Problem | undefined {
-	if (Either.isLeft(answer)) {
-		return answer.left;
+function printResult<Body>(result: Either.Either<Problem, Body>, options: Options, format: (result: Body) => string): Problem | undefined {
+	if (Either.isLeft(result)) {
+		return result.left;
 	}
 
-	process.stdout.write(options.json ? `${JSON.stringify(answer.right)}\n` : format(answer.right));
+	process.stdout.write(options.json ? `${JSON.stringify(result.right)}\n` : format(result.right));
 	return undefined;
 }
 
-function failUsage(text: string): void {
+function printUsageError(text: string): void {
 	process.stderr.write(`carawayhoist: ${text}\n`);
 	process.exitCode = EXIT_USAGE;
 }
