--- a/fakes/completion.ts
+++ b/fakes/completion.ts
@@ -13,7 +13,7 @@
  *
  * @example
  * ```ts
- * generateToken('user: Hello', 0); // 'k3f9 '
+ * generateToken('user: Hello', 0); // '8669 '
  * ```
  */
 export function generateToken(prompt: string, offset: number): string {
@@ -25,7 +25,7 @@
  *
  * @example
  * ```ts
- * generateCompletion('user: Hello', 2); // 'k3f9 01ab '
+ * generateCompletion('user: Hello', 2); // '8669 594f '
  * ```
  */
 export function generateCompletion(prompt: string, tokens: number): string {
--- a/src/base/logger.ts
+++ b/src/base/logger.ts
@@ -34,7 +34,6 @@
  * Creates a logger factory that writes JSON lines to standard output.
  *
  * @param base - Fields that every line has.
- *
  * @example
  * ```ts
  * const log = createLoggers('info', {host: 'a1'})('routing');
@@ -103,7 +102,7 @@
 	let refilledMs = performance.now();
 	let dropped = 0;
 	let reportedMs = refilledMs;
-	const mayWrite = () => {
+	const takeToken = () => {
 		const nowMs = performance.now();
 		tokens = Math.min(LOG_BURST_LINES, tokens + ((nowMs - refilledMs) * LOG_LINES_PER_SECOND / 1000));
 		refilledMs = nowMs;
@@ -126,7 +125,7 @@
 	return component => {
 		const logger = loggers(component);
 		const limit = (write: Logger['info']): Logger['info'] => (message, fields) => {
-			if (mayWrite()) {
+			if (takeToken()) {
 				write(message, fields);
 			}
 		};
--- a/src/daemon/controlhost.ts
+++ b/src/daemon/controlhost.ts
@@ -59,7 +59,7 @@
 const TICK_MS = 250;
 /** Number of announcement intervals without an announcement after which a server counts as silent. */
 const SILENT_INTERVALS = 5;
-/** Number of announcement intervals after which a started host has received an announcement of every live server. */
+/** Number of announcement intervals after which a newly started host has received an announcement of every live server. */
 const WARM_INTERVALS = 2.5;
 /** Added to the minimum time between orders of two control hosts, because the last order may still be in transit. */
 const TAKEOVER_MARGIN_MS = 1000;
