--- a/src/control/service.ts
+++ b/src/control/service.ts
@@ -1,5 +1,6 @@
 /**
- * The control role of a process: the replica, the state it drives, and what the leader answers and does.
+ * Control role of a process: runs the replica and its control state, handles control messages, and runs the controller
+ * while this replica leads.
  *
  * @module
  */
@@ -41,23 +42,24 @@
 	readonly loggers: LoggerFactory;
 	readonly timing?: ReplicaTiming;
 	readonly onCommit?: () => void;
-	/** Called when committed commands were applied, or a snapshot took their place. */
+	/** Called after committed commands have been applied or a snapshot has been restored. */
 	readonly onApplied?: () => void;
-	/** Engines that are announced now, for the choice of roles. */
+	/** Returns the engines that are currently announced, for planning role changes. */
 	readonly listEngines?: () => Announcement[];
-	/** How orders reach engines; the project's own form if absent. */
+	/** Transport for orders to engines; by default the HTTP interface of the project's own engines. */
 	readonly orderTransport?: OrderTransport;
 	readonly controllerTiming?: ControllerTiming;
 	readonly orderSafeguards?: OrderSafeguards;
-	/** Every control host heard of so far; `peers` if absent. */
+	/** Returns all control hosts discovered so far; `peers` if absent. */
 	readonly listPeers?: () => readonly Address[];
-	/** Where this host is reached, if it asks to be taken in by itself; `peers` are asked. */
+	/** Address of this host. If present, the host asks the control hosts to add it as a voter. */
 	readonly self?: Peer;
-	/** Whether the whole fleet starts for the first time; otherwise nobody forms a first configuration. */
+	/** Whether this is the first start of the deployment, so that an initial configuration may be created; true if absent. */
 	readonly canBootstrap?: boolean;
 };
 
-type Subscriber = {
+/** An entry host's connection and the version of the last view update sent on it. */
+type ViewSubscriber = {
 	connection: Connection;
 	sentVersion: number;
 };
@@ -66,28 +68,28 @@
 const BOOTSTRAP_RETRY_MS = 100;
 const HELLO_TIMEOUT_MS = 500;
 const JOIN_INTERVAL_MS = 500;
-/** Drift between the steady clock and the time of day, from one look to the next, that means a sleep or a step. */
-const CLOCK_JUMP_MS = 100;
+/** A larger change of the offset between the wall clock and the monotonic clock means a suspended machine or a clock step. */
+const CLOCK_JUMP_THRESHOLD_MS = 100;
 
-/** The running control role. Whoever started it closes it. */
+/** The running control role of a process. The caller must close it. */
 export class ControlService {
 	readonly #options: ControlServiceOptions;
 	readonly #logger: Logger;
 	readonly #replica: string;
 	readonly #storage: Storage;
-	readonly #orders: OrderTransport;
-	readonly #subscribers = new Map<string, Subscriber>();
+	readonly #orderTransport: OrderTransport;
+	readonly #subscribers = new Map<string, ViewSubscriber>();
 	#state = new ControlState();
 	#node: ConsensusNode | undefined;
 	#controller: Controller | undefined;
-	#repairs = new Reconfigurator();
+	#reconfigurator = new Reconfigurator();
 	#timer: NodeJS.Timeout | undefined;
 	#joinTimer: NodeJS.Timeout | undefined;
 	#joinPool: ConnectionPool | undefined;
 	#leaderTerm = 0;
 	#isDiskFailing = false;
 	#clockOffsetMs: number | undefined;
-	#distrustUntilMs = Number.NEGATIVE_INFINITY;
+	#distrustLeaseUntilMs = Number.NEGATIVE_INFINITY;
 	#isClosed = false;
 
 	private constructor(options: ControlServiceOptions, replica: string, storage: Storage) {
@@ -95,11 +97,11 @@
 		this.#logger = options.loggers('control');
 		this.#replica = replica;
 		this.#storage = storage;
-		this.#orders = options.orderTransport ?? new HttpOrderTransport(options.clock);
+		this.#orderTransport = options.orderTransport ?? new HttpOrderTransport(options.clock);
 	}
 
 	/**
-	 * Opens the data folder and starts the replica, or waits to be bootstrapped or admitted.
+	 * Opens the data folder and starts the replica. Without stored state it waits to be bootstrapped or added as a voter.
 	 *
 	 * @example
 	 * ```ts
@@ -112,7 +114,7 @@
 			return replica;
 		}
 
-		// The storage reports to a service that is made after it.
+		// The storage calls back into the service, which does not exist yet.
 		const holder: {service?: ControlService} = {};
 		const storage = await Storage.open(options.folder, {
 			onSynced: sequence => holder.service?.markSynced(sequence),
@@ -124,7 +126,7 @@
 
 		const service = new ControlService(options, replica.right, storage.right);
 		holder.service = service;
-		service.#begin();
+		service.#start();
 		return Either.right(service);
 	}
 
@@ -140,43 +142,43 @@
 		return this.#node?.replica.commitIndex ?? 0;
 	}
 
-	/** Whether a majority was in touch with this replica a moment ago. */
+	/** Whether this replica leads with a valid lease, or has heard from the leader within an election timeout. */
 	get hasQuorum(): boolean {
 		return this.#node?.replica.hasQuorumContact(this.#options.clock.monotonicMs()) ?? false;
 	}
 
-	/** Whether this replica leads, knows all that is committed, and has no successor yet. */
+	/** Whether this replica leads, has the current commit index, and no other leader can exist yet. */
 	get holdsLeaderLease(): boolean {
 		return this.#holdsLeaderLease();
 	}
 
-	/** The state as far as this replica has applied the log. */
+	/** The control state after the last entry that this replica has applied. */
 	get state(): ControlState {
 		return this.#state;
 	}
 
-	/** Every replica of the configuration in force; empty before the first one. */
+	/** Returns all replicas of the current configuration; empty before there is one. */
 	listMembers(): Member[] {
 		return this.#node ? listMembers(this.#node.replica.configuration) : [];
 	}
 
-	/** Proposes a command here; refused unless this replica leads. */
+	/** Proposes a command on this replica; fails with `notLeader` unless it leads. */
 	async propose(command: Command): Promise<Either.Either<Problem, CommitResult>> {
 		return this.#node ? this.#node.propose(encodeCbor(command)) : Either.left(createProblem('notLeader'));
 	}
 
-	/** Notes that the disk takes no writes; the replica goes on as one whose writes are slow. */
+	/** Logs the first of a series of failed disk writes. The replica keeps running as if its writes were slow. */
 	reportDiskFailure(problem: Problem): void {
 		if (!this.#isDiskFailing) {
 			this.#isDiskFailing = true;
-			this.#logger.error('The disk takes no writes.', {code: problem.code, reason: problem.text});
+			this.#logger.error('Writing to the data folder fails; retrying.', {code: problem.code, reason: problem.text});
 		}
 	}
 
 	markSynced(sequence: number): void {
 		if (this.#isDiskFailing) {
 			this.#isDiskFailing = false;
-			this.#logger.info('The disk takes writes again.');
+			this.#logger.info('Writing to the data folder works again.');
 		}
 
 		if (sequence > 0) {
@@ -184,7 +186,7 @@
 		}
 	}
 
-	/** Takes a message of the control protocol; true if it was one. */
+	/** Handles a message of the control protocol. Returns false for a message of another protocol. */
 	receive(message: Message, connection: Connection): boolean {
 		switch (message.type) {
 			case 'hello': {
@@ -229,7 +231,7 @@
 		}
 	}
 
-	/** Hands leadership over, so that a planned stop costs no election. */
+	/** Transfers leadership before a planned stop, so that the others need not wait for an election timeout. */
 	transferLeadership(): void {
 		this.#node?.transferLeadership();
 	}
@@ -242,12 +244,12 @@
 		await (this.#node ? this.#node.close() : this.#storage.close());
 	}
 
-	#begin(): void {
+	#start(): void {
 		const {snapshot, entries} = this.#storage.persistentState;
 		this.#timer = setInterval(() => {
 			this.#tick();
 		}, CONTROLLER_TICK_MS);
-		this.#askToJoin();
+		this.#requestJoin();
 		if (snapshot.configuration.voters.length > 0 || entries.length > 0) {
 			this.#startNode();
 			return;
@@ -258,8 +260,8 @@
 		}
 	}
 
-	/** Asks to be taken in until this replica votes; the leader alone answers, by doing it. */
-	#askToJoin(): void {
+	/** Sends join requests until this replica is a voter. There is no reply: the leader acts, the others ignore them. */
+	#requestJoin(): void {
 		const {self} = this.#options;
 		if (!self) {
 			return;
@@ -285,12 +287,12 @@
 
 	async #bootstrap(): Promise<void> {
 		while (!this.#node && !this.#isClosed) {
-			const answers = await this.#askPeers();
+			const replies = await this.#requestWelcomes();
 			const self = {host: this.#options.host, replica: this.#replica};
-			const configuration = createInitialConfiguration(self, this.#options.peers, answers)
-				?? findInitialConfiguration(this.#replica, this.#options.peers, answers);
+			const configuration = createInitialConfiguration(self, this.#options.peers, replies)
+				?? findInitialConfiguration(this.#replica, this.#options.peers, replies);
 			if (configuration && !this.#node) {
-				this.#logger.info('Starts from the first configuration.', {voters: configuration.voters.map(({host}) => host)});
+				this.#logger.info('Starting with the initial configuration.', {voters: configuration.voters.map(({host}) => host)});
 				this.#startNode(configuration);
 				return;
 			}
@@ -301,22 +303,22 @@
 		}
 	}
 
-	async #askPeers(): Promise<BootstrapReply[]> {
+	async #requestWelcomes(): Promise<BootstrapReply[]> {
 		const others = this.#options.peers.filter(peer => peer.host !== this.#options.host);
-		const answers = await Promise.all(others.map(async peer => {
-			const welcome = await askHello(peer);
+		const replies = await Promise.all(others.map(async peer => {
+			const welcome = await requestWelcome(peer);
 			return welcome && {peer, welcome};
 		}));
-		return answers.filter(answer => answer !== undefined);
+		return replies.filter(reply => reply !== undefined);
 	}
 
-	#startNode(first?: Configuration): void {
+	#startNode(initialConfiguration?: Configuration): void {
 		if (this.#node !== undefined || this.#isClosed) {
 			return;
 		}
 
 		const {hard, snapshot, entries} = this.#storage.persistentState;
-		const machine: StateMachine = {
+		const stateMachine: StateMachine = {
 			apply: entry => this.#apply(entry),
 			skip: index => {
 				this.#state.skip(index);
@@ -326,16 +328,16 @@
 				this.#state = new ControlState(decodeCbor(data) as ControlStateSnapshot);
 			},
 		};
-		const configured = first ? {...EMPTY_SNAPSHOT, configuration: first} : snapshot;
-		if (first) {
-			this.#storage.write(0, [{type: 'snapshot', snapshot: configured}]);
+		const initialSnapshot = initialConfiguration ? {...EMPTY_SNAPSHOT, configuration: initialConfiguration} : snapshot;
+		if (initialConfiguration) {
+			this.#storage.write(0, [{type: 'snapshot', snapshot: initialSnapshot}]);
 		}
 
 		this.#node = new ConsensusNode({
 			replica: this.#replica,
-			persistentState: {hard, snapshot: configured, entries},
+			persistentState: {hard, snapshot: initialSnapshot, entries},
 			storage: this.#storage,
-			stateMachine: machine,
+			stateMachine,
 			clock: this.#options.clock,
 			random: this.#options.random,
 			logger: this.#options.loggers('consensus'),
@@ -357,12 +359,12 @@
 		if (role === 'leader') {
 			this.#leaderTerm = term;
 			this.#controller = new Controller(this.#options.clock.monotonicMs(), this.#options.controllerTiming, this.#options.orderSafeguards);
-			this.#repairs = new Reconfigurator();
+			this.#reconfigurator = new Reconfigurator();
 			return;
 		}
 
 		this.#controller = undefined;
-		this.#repairs = new Reconfigurator();
+		this.#reconfigurator = new Reconfigurator();
 		this.#subscribers.clear();
 	}
 
@@ -380,7 +382,7 @@
 		}
 	}
 
-	/** Whether this replica leads, knows all that is committed and can have no successor yet. */
+	/** Whether this replica leads, has the current commit index, and no other leader can exist yet. */
 	#holdsLeaderLease(): boolean {
 		const node = this.#node;
 		return node !== undefined && node.replica.isLeaderReady && node.getLeaseExpiryMs() > this.#options.clock.monotonicMs();
@@ -392,42 +394,45 @@
 			return;
 		}
 
-		const authority = this.#authority();
+		const leaseClock = this.#readLeaseClock();
 		const engines = this.#options.listEngines?.() ?? [];
 		for (const engine of engines) {
-			this.#controller.observe(engine, authority.nowMs);
+			this.#controller.observe(engine, leaseClock.nowMs);
 		}
 
 		const effects = [
-			...this.#controller.tick(this.#state, authority),
-			...this.#controller.planRoleChanges(this.#state, engines, authority),
+			...this.#controller.tick(this.#state, leaseClock),
+			...this.#controller.planRoleChanges(this.#state, engines, leaseClock),
 		];
 		for (const effect of effects) {
-			void this.#run(effect);
+			void this.#runEffect(effect);
 		}
 
-		this.#tickRepair(node);
+		this.#tickReconfiguration(node);
 	}
 
-	#authority(): LeaseClock {
+	#readLeaseClock(): LeaseClock {
 		const nowMs = this.#options.clock.monotonicMs();
 		const wallMs = this.#options.clock.wallMs();
-		this.#watchClocks(nowMs, wallMs);
-		const leaseUntilMs = nowMs < this.#distrustUntilMs ? Number.NEGATIVE_INFINITY : this.#node?.getLeaseExpiryMs() ?? Number.NEGATIVE_INFINITY;
+		this.#detectClockJump(nowMs, wallMs);
+		const leaseUntilMs = nowMs < this.#distrustLeaseUntilMs ? Number.NEGATIVE_INFINITY : this.#node?.getLeaseExpiryMs() ?? Number.NEGATIVE_INFINITY;
 		return {nowMs, wallMs, leaseUntilMs};
 	}
 
-	/** A machine that slept has a steady clock that stood still: its lease is over though it does not look so. */
-	#watchClocks(nowMs: number, wallMs: number): void {
+	/**
+	 * Ignores the lease for one election timeout after a clock jump. The monotonic clock stands still while a machine is
+	 * suspended, so a lease that has expired meanwhile would still look valid.
+	 */
+	#detectClockJump(nowMs: number, wallMs: number): void {
 		const offsetMs = wallMs - nowMs;
-		if (Math.abs(offsetMs - (this.#clockOffsetMs ?? offsetMs)) > CLOCK_JUMP_MS) {
-			this.#distrustUntilMs = nowMs + (this.#node?.replica.timing.electionMs ?? 0);
+		if (Math.abs(offsetMs - (this.#clockOffsetMs ?? offsetMs)) > CLOCK_JUMP_THRESHOLD_MS) {
+			this.#distrustLeaseUntilMs = nowMs + (this.#node?.replica.timing.electionMs ?? 0);
 		}
 
 		this.#clockOffsetMs = offsetMs;
 	}
 
-	async #run(effect: ControllerEffect): Promise<void> {
+	async #runEffect(effect: ControllerEffect): Promise<void> {
 		if (effect.type === 'propose') {
 			this.#logProposal(effect.command);
 			await this.#node?.propose(encodeCbor(effect.command));
@@ -436,12 +441,12 @@
 
 		const term = this.#leaderTerm;
 		const {server, order} = effect;
-		this.#logger.info(effect.type === 'send-order' ? `Sends order ${order.order} to ${order.server}.` : `Reads back order ${order.order} from ${order.server}.`, {
+		this.#logger.info(effect.type === 'send-order' ? `Sending order ${order.order} to ${order.server}.` : `Querying order ${order.order} at ${order.server}.`, {
 			order: order.order, server: order.server, action: order.action, checksFence: server.checksFence ?? false,
 		});
 		const report = effect.type === 'send-order'
-			? await this.#orders.send(effect)
-			: await this.#orders.queryOrder(server, order, effect.isOwn);
+			? await this.#orderTransport.send(effect)
+			: await this.#orderTransport.queryOrder(server, order, effect.isOwn);
 		this.#onReport(report, term);
 	}
 
@@ -450,23 +455,23 @@
 			return;
 		}
 
-		this.#logger.info(`Order ${report.order} at ${report.server} is ${report.type}.`, {...report});
-		for (const effect of this.#controller.handleReport(report, this.#authority())) {
-			void this.#run(effect);
+		this.#logger.info(`Status of order ${report.order} at ${report.server}: ${report.type}.`, {...report});
+		for (const effect of this.#controller.handleReport(report, this.#readLeaseClock())) {
+			void this.#runEffect(effect);
 		}
 	}
 
 	#logProposal(command: Command): void {
 		if (command.type === 'advance') {
-			this.#logger.info(`Change ${command.change} becomes ${command.phase}.`, {change: command.change, phase: command.phase, reason: command.note});
+			this.#logger.info(`Proposing phase ${command.phase} for change ${command.change}.`, {change: command.change, phase: command.phase, reason: command.note});
 		}
 
 		if (command.type === 'put' && command.specification.kind === 'change') {
-			this.#logger.info(`Chooses the change ${command.name}.`, {change: command.specification, reason: command.specification.reason});
+			this.#logger.info(`Proposing change ${command.name}.`, {change: command.specification, reason: command.specification.reason});
 		}
 
 		if (command.type === 'settle') {
-			this.#logger.warn('Closes a claim whose host is gone.', {key: command.key, attempt: command.attempt});
+			this.#logger.warn('Settling a claim whose entry host has failed.', {key: command.key, attempt: command.attempt});
 		}
 	}
 
@@ -507,7 +512,7 @@
 		}
 
 		const leaseMs = this.#controller.renewViewLease(message, this.#options.clock.monotonicMs());
-		const subscriber: Subscriber = {connection, sentVersion: message.version};
+		const subscriber: ViewSubscriber = {connection, sentVersion: message.version};
 		this.#subscribers.set(message.host, subscriber);
 		this.#sendView(subscriber, message.id, leaseMs);
 		if (message.leaving) {
@@ -515,7 +520,7 @@
 		}
 	}
 
-	#sendView(subscriber: Subscriber, id: number, leaseMs: number): void {
+	#sendView(subscriber: ViewSubscriber, id: number, leaseMs: number): void {
 		const view = this.#state.createViewUpdate(subscriber.sentVersion);
 		subscriber.sentVersion = view.version;
 		subscriber.connection.send({
@@ -531,10 +536,10 @@
 		}
 
 		if (message.action !== 'list') {
-			const repair = await this.#planRepair(message);
-			const begun = Either.isLeft(repair) ? repair : this.#beginRepair(repair.right, node);
-			if (Either.isLeft(begun)) {
-				this.#refuse(message.id, begun.left, connection);
+			const reconfiguration = await this.#planReconfiguration(message);
+			const started = Either.isLeft(reconfiguration) ? reconfiguration : this.#startReconfiguration(reconfiguration.right, node);
+			if (Either.isLeft(started)) {
+				this.#refuse(message.id, started.left, connection);
 				return;
 			}
 		}
@@ -542,7 +547,7 @@
 		connection.send(this.#createMembersReply(message.id, node));
 	}
 
-	async #planRepair(message: MembersRequest): Promise<Either.Either<Problem, Reconfiguration>> {
+	async #planReconfiguration(message: MembersRequest): Promise<Either.Either<Problem, Reconfiguration>> {
 		if (message.action === 'remove') {
 			return Either.right({remove: message.replica ?? ''});
 		}
@@ -551,7 +556,7 @@
 			return Either.left(createProblem('membershipRefused', 'No host was named.'));
 		}
 
-		const welcome = await askHello(message.member);
+		const welcome = await requestWelcome(message.member);
 		if (!welcome) {
 			return Either.left(createProblem('membershipRefused', `Host ${message.member.host} does not answer.`));
 		}
@@ -566,32 +571,32 @@
 			return;
 		}
 
-		const repair = this.#repairs.planJoin(member, this.#membersView(node), this.#options.clock.monotonicMs());
-		if (repair) {
-			this.#beginRepair(repair, node);
+		const reconfiguration = this.#reconfigurator.planJoin(member, this.#getConfigurationStatus(node), this.#options.clock.monotonicMs());
+		if (reconfiguration) {
+			this.#startReconfiguration(reconfiguration, node);
 		}
 	}
 
-	#beginRepair(repair: Reconfiguration, node: ConsensusNode): Either.Either<Problem, Reconfiguration> {
-		const begun = this.#repairs.start(repair, this.#membersView(node), this.#options.clock.monotonicMs());
-		if (Either.isRight(begun)) {
-			this.#logger.info(`Begins a repair: ${describeReconfiguration(repair)}.`);
-			this.#tickRepair(node);
+	#startReconfiguration(reconfiguration: Reconfiguration, node: ConsensusNode): Either.Either<Problem, Reconfiguration> {
+		const started = this.#reconfigurator.start(reconfiguration, this.#getConfigurationStatus(node), this.#options.clock.monotonicMs());
+		if (Either.isRight(started)) {
+			this.#logger.info(`Starting reconfiguration: ${describeReconfiguration(reconfiguration)}.`);
+			this.#tickReconfiguration(node);
 		}
 
-		return begun;
+		return started;
 	}
 
-	#tickRepair(node: ConsensusNode): void {
-		const event = this.#repairs.tick(this.#membersView(node), this.#options.clock.monotonicMs());
+	#tickReconfiguration(node: ConsensusNode): void {
+		const event = this.#reconfigurator.tick(this.#getConfigurationStatus(node), this.#options.clock.monotonicMs());
 		if (event?.type === 'propose-configuration') {
 			node.proposeConfiguration(event.configuration);
 		} else if (event) {
-			this.#logger.info(`Repair ${event.type}: ${describeReconfiguration(event.reconfiguration)}.`);
+			this.#logger.info(`Reconfiguration ${event.type}: ${describeReconfiguration(event.reconfiguration)}.`);
 		}
 	}
 
-	#membersView(node: ConsensusNode): ConfigurationStatus {
+	#getConfigurationStatus(node: ConsensusNode): ConfigurationStatus {
 		const nowMs = this.#options.clock.monotonicMs();
 		return {
 			configuration: node.replica.configuration,
@@ -602,17 +607,17 @@
 	}
 
 	#createMembersReply(id: number, node: ConsensusNode): MembersReply {
-		const view = this.#membersView(node);
-		const progress = listMembers(view.configuration).map(({replica}) => ({replica, ...view.getProgress(replica)}));
-		const {current} = this.#repairs;
+		const status = this.#getConfigurationStatus(node);
+		const progress = listMembers(status.configuration).map(({replica}) => ({replica, ...status.getProgress(replica)}));
+		const {current} = this.#reconfigurator;
 		const repair = current ? {repair: describeReconfiguration(current)} : {};
 		return {
 			type: 'members-reply',
 			id,
-			configuration: view.configuration,
+			configuration: status.configuration,
 			leader: this.#replica,
 			term: node.replica.term,
-			commitIndex: view.commitIndex,
+			commitIndex: status.commitIndex,
 			progress,
 			...repair,
 		};
@@ -634,8 +639,8 @@
 	}
 }
 
-/** Asks a control host who it is; undefined if it does not answer. */
-async function askHello(peer: Peer): Promise<Welcome | undefined> {
+/** Requests a control host's identity and configuration; undefined if it does not reply in time. */
+async function requestWelcome(peer: Peer): Promise<Welcome | undefined> {
 	return new Promise(resolve => {
 		const connection = connect(peer, message => {
 			if (message.type === 'welcome') {
--- a/src/control/state.ts
+++ b/src/control/state.ts
@@ -1,6 +1,6 @@
 /**
- * The durable state: resources, planned changes, orders and the ledger. Every replica applies the same commands
- * in the same order and holds the same state.
+ * Replicated control state: resources, planned changes, open orders and the idempotency ledger. Every replica applies
+ * the same commands in the same order and therefore has the same state.
  *
  * @module
  */
@@ -12,20 +12,23 @@
 
 export type ResourceKind = Specification['kind'];
 
+/** An order to a backend server that is not settled yet. */
 export type OpenOrder = {
 	readonly server: string;
-	/** Fencing number: the index of the order in the log. */
+	/** Fencing number: the log index of the command that issued the order. */
 	readonly order: number;
 	readonly change: string;
 	readonly action: OrderAction;
 };
 
+/** Outcome of an operator's request, returned again if the request is resent. */
 type RememberedRequest = {
 	readonly requestId: string;
 	readonly atMs: number;
 	readonly outcome: CommandOutcome;
 };
 
+/** Key of a removed resource and the version at which it was removed. */
 type Removal = {
 	readonly key: string;
 	readonly version: number;
@@ -37,6 +40,7 @@
 	readonly clockMs: number;
 	readonly resources: readonly Resource[];
 	readonly removals: readonly Removal[];
+	/** Version up to which removals are no longer stored; older views need all resources. */
 	readonly removalFloor: number;
 	readonly orders: readonly OpenOrder[];
 	readonly requests: readonly RememberedRequest[];
@@ -47,18 +51,18 @@
 	draining: 'draining', drained: 'drained', ordered: 'ordered', done: 'done', failed: 'failed',
 } as const satisfies Record<ChangePhase, ChangePhase>;
 
-/** Name of the one resource that holds routes, services and limits. */
+/** Name of the only publication resource, which contains routes, services and limits. */
 export const PUBLICATION_NAME = 'current';
-/** Version that matches whatever is there. */
+/** Version that matches any version of a resource, and requests all resources in a read. */
 export const ANY_VERSION = -1;
 const REQUEST_RETENTION_MS = 60 * 60 * 1000;
-const MAX_REQUESTS = 20_000;
+const MAX_REMEMBERED_REQUESTS = 20_000;
 const MAX_REMOVALS = 2000;
-const EMPTY_IMAGE: ControlStateSnapshot = {
+const EMPTY_STATE: ControlStateSnapshot = {
 	version: 0, viewVersion: 0, clockMs: 0, resources: [], removals: [], removalFloor: 0, orders: [], requests: [], ledger: {records: [], abandoned: []},
 };
 
-/** The replicated state; changed only by `apply`. */
+/** The replicated control state. Modified only by applying log entries. */
 export class ControlState {
 	readonly ledger: Ledger;
 	readonly #resources = new Map<string, Resource>();
@@ -70,27 +74,27 @@
 	#viewVersion: number;
 	#clockMs: number;
 
-	constructor(image: ControlStateSnapshot = EMPTY_IMAGE, claimBeforeSend = true) {
-		this.ledger = new Ledger(image.ledger, claimBeforeSend);
-		this.#version = image.version;
-		this.#viewVersion = image.viewVersion;
-		this.#clockMs = image.clockMs;
-		this.#removals = [...image.removals];
-		this.#removalFloor = image.removalFloor;
-		for (const resource of image.resources) {
+	constructor(snapshot: ControlStateSnapshot = EMPTY_STATE, claimBeforeSend = true) {
+		this.ledger = new Ledger(snapshot.ledger, claimBeforeSend);
+		this.#version = snapshot.version;
+		this.#viewVersion = snapshot.viewVersion;
+		this.#clockMs = snapshot.clockMs;
+		this.#removals = [...snapshot.removals];
+		this.#removalFloor = snapshot.removalFloor;
+		for (const resource of snapshot.resources) {
 			this.#resources.set(createResourceKey(resource.specification.kind, resource.name), resource);
 		}
 
-		for (const order of image.orders) {
+		for (const order of snapshot.orders) {
 			this.#orders.set(order.server, order);
 		}
 
-		for (const request of image.requests) {
+		for (const request of snapshot.requests) {
 			this.#requests.set(request.requestId, request);
 		}
 	}
 
-	/** Index of the last command applied. */
+	/** Index of the last log entry that was applied. */
 	get version(): number {
 		return this.#version;
 	}
@@ -100,7 +104,7 @@
 		return this.#viewVersion;
 	}
 
-	/** The latest wall clock that a command carried, milliseconds. */
+	/** The latest wall-clock time in any command, milliseconds. */
 	get clockMs(): number {
 		return this.#clockMs;
 	}
@@ -113,7 +117,7 @@
 		return [...this.#resources.values()];
 	}
 
-	/** The publication in force; undefined before the first one. */
+	/** The current publication; undefined before the first one. */
 	get publication(): Publication | undefined {
 		const specification = this.findResource('publication', PUBLICATION_NAME)?.specification;
 		return specification?.kind === 'publication' ? specification : undefined;
@@ -124,25 +128,25 @@
 		return this.listResources().filter(resource => isOpenChange(resource));
 	}
 
-	/** Orders that were issued and whose end is not known. */
+	/** Orders that were issued and are not settled. */
 	listOpenOrders(): OpenOrder[] {
 		return [...this.#orders.values()];
 	}
 
-	/** Applies the command at an index of the log. */
+	/** Applies the command at a log index and returns its outcome. */
 	apply(command: Command, index: number): CommandOutcome {
 		this.#version = index;
 		this.#clockMs = Math.max(this.#clockMs, command.at);
-		this.#expire();
+		this.#removeExpired();
 		return this.#dispatch({...command, at: this.#clockMs}, index);
 	}
 
-	/** Notes an index that carries no command. */
+	/** Advances past a log entry that carries no command. */
 	skip(index: number): void {
 		this.#version = index;
 	}
 
-	/** What changed since a version; the whole state if that version is too old. */
+	/** Returns the resource changes since a version, or all resources if it is too old or newer than this state. */
 	createViewUpdate(from: number): ViewUpdate {
 		if (from < this.#removalFloor || from > this.#viewVersion) {
 			return {
@@ -175,11 +179,11 @@
 	#dispatch(command: Command, index: number): CommandOutcome {
 		switch (command.type) {
 			case 'put': {
-				return this.#once(command.requestId, command.at, () => this.#put(command, index));
+				return this.#runOnce(command.requestId, command.at, () => this.#put(command, index));
 			}
 
 			case 'remove': {
-				return this.#once(command.requestId, command.at, () => this.#remove(command, index));
+				return this.#runOnce(command.requestId, command.at, () => this.#remove(command, index));
 			}
 
 			case 'claim': {
@@ -204,24 +208,24 @@
 		}
 	}
 
-	/** A request that is sent again gets the answer it got the first time. */
-	#once(requestId: string, atMs: number, run: () => CommandOutcome): CommandOutcome {
-		const known = this.#requests.get(requestId);
-		if (known) {
-			return known.outcome;
+	/** Executes a request once; a resent request gets the first outcome. */
+	#runOnce(requestId: string, atMs: number, execute: () => CommandOutcome): CommandOutcome {
+		const existing = this.#requests.get(requestId);
+		if (existing) {
+			return existing.outcome;
 		}
 
-		const outcome = run();
+		const outcome = execute();
 		this.#requests.set(requestId, {requestId, atMs, outcome});
 		return outcome;
 	}
 
 	#put(command: PutCommand, index: number): CommandOutcome {
 		const {specification, name, seen} = command;
-		const known = this.#resources.get(createResourceKey(specification.kind, name));
-		const current = known?.version ?? 0;
-		if (specification.kind === 'publication' && known?.specification.kind === 'publication' && known.specification.version >= specification.version) {
-			// What was published later stays in force, whichever arrives first.
+		const existing = this.#resources.get(createResourceKey(specification.kind, name));
+		const current = existing?.version ?? 0;
+		if (specification.kind === 'publication' && existing?.specification.kind === 'publication' && existing.specification.version >= specification.version) {
+			// The highest publication version stays current, in whatever order publications arrive.
 			return {type: 'accepted', version: current};
 		}
 
@@ -230,26 +234,26 @@
 		}
 
 		if (specification.kind !== 'change') {
-			this.#store({name, version: index, specification});
+			this.#storeResource({name, version: index, specification});
 			return {type: 'accepted', version: index};
 		}
 
-		return this.#declareChange(command, specification, known, index);
+		return this.#declareChange(command, specification, existing, index);
 	}
 
-	#declareChange(command: PutCommand, specification: ChangeSpecification, known: Resource | undefined, index: number): CommandOutcome {
-		if (known) {
-			return createConflict('versionConflict', known.version, 'A planned change is not altered; delete it and declare another.');
+	#declareChange(command: PutCommand, specification: ChangeSpecification, existing: Resource | undefined, index: number): CommandOutcome {
+		if (existing) {
+			return createConflict('versionConflict', existing.version, 'A planned change is not altered; delete it and declare another.');
 		}
 
-		const other = this.listOpenChanges().find(resource => concernsServer(resource, specification));
-		if (other) {
-			return createConflict('engineBusy', other.version, `Change ${other.name} is not finished.`);
+		const conflictingChange = this.listOpenChanges().find(resource => involvesSameServer(resource, specification));
+		if (conflictingChange) {
+			return createConflict('engineBusy', conflictingChange.version, `Change ${conflictingChange.name} is not finished.`);
 		}
 
 		const note = `Declared: ${describeChange(specification)}. No new work is sent there from now on.`;
 		const status: ChangeStatus = {phase: CHANGE_PHASES.draining, history: [{at: command.at, phase: CHANGE_PHASES.draining, note}]};
-		this.#store({
+		this.#storeResource({
 			name: command.name, version: index, specification, status,
 		});
 		return {type: 'accepted', version: index};
@@ -257,13 +261,13 @@
 
 	#remove(command: RemoveCommand, index: number): CommandOutcome {
 		const key = `${command.kind}/${command.name}`;
-		const known = this.#resources.get(key);
-		const current = known?.version ?? 0;
-		if (!known || (command.seen !== ANY_VERSION && command.seen !== current)) {
+		const existing = this.#resources.get(key);
+		const current = existing?.version ?? 0;
+		if (!existing || (command.seen !== ANY_VERSION && command.seen !== current)) {
 			return createConflict('versionConflict', current, `It has version ${current}, you saw ${command.seen}.`);
 		}
 
-		if (known.status?.phase === CHANGE_PHASES.ordered) {
+		if (existing.status?.phase === CHANGE_PHASES.ordered) {
 			return createConflict('engineBusy', current, 'Its order has gone out and is not settled yet.');
 		}
 
@@ -283,7 +287,7 @@
 			return createConflict('versionConflict', resource?.version ?? 0, 'The change is in another phase.');
 		}
 
-		this.#enter(resource, {at: command.at, phase: command.phase, note: command.note}, index);
+		this.#enterPhase(resource, {at: command.at, phase: command.phase, note: command.note}, index);
 		return {type: 'accepted', version: index};
 	}
 
@@ -297,44 +301,44 @@
 			server: command.server, order: index, change: command.change, action: command.action,
 		});
 		const note = `Order ${index} to ${command.server}: ${describeAction(command.action)}.`;
-		this.#enter(resource, {at: command.at, phase: CHANGE_PHASES.ordered, note}, index, index);
+		this.#enterPhase(resource, {at: command.at, phase: CHANGE_PHASES.ordered, note}, index, index);
 		return {type: 'accepted', version: index};
 	}
 
 	#settleOrder(command: SettleOrderCommand, index: number): CommandOutcome {
-		const open = this.#orders.get(command.server);
-		if (open?.order !== command.order) {
-			return createConflict('versionConflict', open?.order ?? 0, 'That order is not open.');
+		const openOrder = this.#orders.get(command.server);
+		if (openOrder?.order !== command.order) {
+			return createConflict('versionConflict', openOrder?.order ?? 0, 'That order is not open.');
 		}
 
 		this.#orders.delete(command.server);
-		const resource = this.findResource('change', open.change);
+		const resource = this.findResource('change', openOrder.change);
 		if (resource) {
 			const phase = command.outcome === 'done' ? CHANGE_PHASES.done : CHANGE_PHASES.failed;
-			this.#enter(resource, {at: command.at, phase, note: command.note}, index);
+			this.#enterPhase(resource, {at: command.at, phase, note: command.note}, index);
 		}
 
 		return {type: 'accepted', version: index};
 	}
 
-	#enter(resource: Resource, step: ChangeStep, index: number, order?: number): void {
+	#enterPhase(resource: Resource, step: ChangeStep, index: number, order?: number): void {
 		const {phase} = step;
 		const history = [...resource.status?.history ?? [], step];
-		const number = order ?? resource.status?.order;
-		const status: ChangeStatus = number === undefined ? {phase, history} : {phase, history, order: number};
-		this.#store({...resource, version: index, status});
+		const orderNumber = order ?? resource.status?.order;
+		const status: ChangeStatus = orderNumber === undefined ? {phase, history} : {phase, history, order: orderNumber};
+		this.#storeResource({...resource, version: index, status});
 	}
 
-	#store(resource: Resource): void {
+	#storeResource(resource: Resource): void {
 		this.#viewVersion = resource.version;
 		this.#resources.set(createResourceKey(resource.specification.kind, resource.name), resource);
 	}
 
-	#expire(): void {
+	#removeExpired(): void {
 		this.ledger.removeExpired(this.#clockMs);
 		for (const [requestId, request] of this.#requests) {
-			const isYoung = this.#clockMs - request.atMs < REQUEST_RETENTION_MS;
-			if (isYoung && this.#requests.size <= MAX_REQUESTS) {
+			const isRetained = this.#clockMs - request.atMs < REQUEST_RETENTION_MS;
+			if (isRetained && this.#requests.size <= MAX_REMEMBERED_REQUESTS) {
 				return;
 			}
 
@@ -344,11 +348,11 @@
 }
 
 /**
- * The key of a resource in views and removals.
+ * Returns the key of a resource, as used in view updates.
  *
  * @example
  * ```ts
- * resourceKey('engine', 'e1'); // 'engine/e1'
+ * createResourceKey('engine', 'e1'); // 'engine/e1'
  * ```
  */
 export function createResourceKey(kind: ResourceKind, name: string): string {
@@ -356,7 +360,7 @@
 }
 
 /**
- * Tells whether a resource is a planned change that is not finished.
+ * Returns whether a resource is a planned change that is not finished.
  *
  * @example
  * ```ts
@@ -374,7 +378,7 @@
 }
 
 /**
- * Tells whether a planned change keeps new work away from its server.
+ * Returns whether a resource is a planned change that excludes its server from new work.
  *
  * @example
  * ```ts
@@ -387,16 +391,16 @@
 		return false;
 	}
 
-	const comesBack = specification.action === 'role' || specification.action === 'load';
+	const returnsToService = specification.action === 'role' || specification.action === 'load';
 	if (status.phase === CHANGE_PHASES.failed) {
 		return false;
 	}
 
-	return !(comesBack && status.phase === CHANGE_PHASES.done);
+	return !(returnsToService && status.phase === CHANGE_PHASES.done);
 }
 
 /**
- * Says in words what a planned change is.
+ * Describes a planned change for its history.
  *
  * @example
  * ```ts
@@ -416,7 +420,7 @@
 }
 
 /**
- * Says in words what an order asks for.
+ * Describes what an order asks for.
  *
  * @example
  * ```ts
@@ -443,7 +447,7 @@
 	}
 }
 
-function concernsServer(resource: Resource, change: ChangeSpecification): boolean {
+function involvesSameServer(resource: Resource, change: ChangeSpecification): boolean {
 	const other = resource.specification as ChangeSpecification;
 	const servers = new Set([other.server, other.replacement]);
 	return servers.has(change.server) || (change.replacement !== undefined && servers.has(change.replacement));
--- a/src/entry/plain.ts
+++ b/src/entry/plain.ts
@@ -1,5 +1,5 @@
 /**
- * One exchange with a plain backend server; tells exactly whether the work can have run.
+ * HTTP client for plain backend servers. Its results tell whether the server may have run the request.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 	readonly headers: Readonly<Record<string, string>>;
 	readonly body: Buffer;
 	readonly timeoutMs: number;
-	/** Whether it must go out on a connection opened for it. */
+	/** Whether to open a new connection instead of using a pooled one. */
 	readonly usesNewConnection: boolean;
 };
 
@@ -26,10 +26,10 @@
 };
 
 export type PlainResult
-	= | {readonly type: 'answer'; readonly answer: PlainResponse}
-	/** No byte left, or the server says that it did not run it. */
+	= | {readonly type: 'response'; readonly response: PlainResponse}
+	/** The server did not run the request: no byte of it was sent, or the server says so. */
 		| {readonly type: 'not-run'; readonly text: string}
-	/** It may have run. */
+	/** The server may have run the request. */
 		| {readonly type: 'unknown'; readonly text: string};
 
 const CONNECT_TIMEOUT_MS = 1000;
@@ -37,7 +37,7 @@
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 const CONNECT_ERRORS = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH']);
 
-/** Connections to plain servers. Whoever created it closes it. */
+/** Sends requests to plain servers over a connection pool. Its creator must close it. */
 export class PlainClient {
 	readonly #agent = new Agent({
 		pipelining: 1,
@@ -49,12 +49,12 @@
 	});
 
 	/**
-	 * Sends a request once and reports how it ended.
+	 * Sends a request once and returns its result.
 	 *
 	 * @example
 	 * ```ts
-	 * const end = await client.exchange(server, request);
-	 * end.type; // 'answer', 'not-run' or 'unknown'
+	 * const result = await client.send(server, request);
+	 * result.type; // 'response', 'not-run' or 'unknown'
 	 * ```
 	 */
 	async send(server: Announcement, request: PlainRequest): Promise<PlainResult> {
@@ -82,6 +82,7 @@
 	}
 }
 
+/** Handles the response to one request as undici delivers it. */
 class PlainHandler implements Dispatcher.DispatchHandler {
 	readonly result: Promise<PlainResult>;
 	readonly #request: PlainRequest;
@@ -90,7 +91,7 @@
 	#resolve: (result: PlainResult) => void = () => undefined;
 	#controller: Dispatcher.DispatchController | undefined;
 	#isFinished = false;
-	#hasStarted = false;
+	#hasRequestStarted = false;
 	#status = 0;
 	#contentType = '';
 	#length = 0;
@@ -108,7 +109,7 @@
 
 	onRequestStart(controller: Dispatcher.DispatchController): void {
 		this.#controller = controller;
-		this.#hasStarted = true;
+		this.#hasRequestStarted = true;
 		if (this.#isFinished) {
 			controller.abort(new Error('finished'));
 		}
@@ -117,8 +118,8 @@
 	onResponseStart(_controller: Dispatcher.DispatchController, status: number, headers: Record<string, string | string[] | undefined>): void {
 		this.#status = status;
 		this.#contentType = String(headers['content-type'] ?? 'application/octet-stream');
-		const echoed = headers['x-request-id'];
-		if (echoed !== undefined && echoed !== this.#request.id) {
+		const echoedId = headers['x-request-id'];
+		if (echoedId !== undefined && echoedId !== this.#request.id) {
 			this.#fail('The answer belongs to another request.');
 			return;
 		}
@@ -144,12 +145,12 @@
 			return;
 		}
 
-		const answer = {status: this.#status, contentType: this.#contentType, body: Buffer.concat(this.#chunks)};
-		this.#finish({type: 'answer', answer});
+		const response = {status: this.#status, contentType: this.#contentType, body: Buffer.concat(this.#chunks)};
+		this.#finish({type: 'response', response});
 	}
 
 	onResponseError(_controller: Dispatcher.DispatchController, error: Error & {code?: string}): void {
-		if (!this.#hasStarted || CONNECT_ERRORS.has(error.code ?? '')) {
+		if (!this.#hasRequestStarted || CONNECT_ERRORS.has(error.code ?? '')) {
 			this.#finish({type: 'not-run', text: 'No connection could be made.'});
 			return;
 		}
@@ -158,7 +159,7 @@
 	}
 
 	#fail(text: string): void {
-		const type = this.#hasStarted ? 'unknown' : 'not-run';
+		const type = this.#hasRequestStarted ? 'unknown' : 'not-run';
 		this.#finish({type, text});
 		this.#controller?.abort(new Error(text));
 	}
--- a/src/entry/pool.ts
+++ b/src/entry/pool.ts
@@ -1,5 +1,5 @@
 /**
- * The backend servers as an entry host may use them now: announced, not leaving, not changing, not suspected.
+ * The backend servers that an entry host may use now: announced, not leaving, and not excluded by a planned change.
  *
  * @module
  */
@@ -17,12 +17,12 @@
 import type {Directory} from '../membership/directory.js';
 import type {ResourceView} from './view.js';
 
-/** Characters of a prompt for each token, as an estimate. */
+/** Estimated number of prompt characters per token. */
 export const CHARACTERS_PER_TOKEN = 4;
-/** KV tokens that one piece of an engine's capacity holds. */
+/** Number of tokens that one KV block of an engine's capacity holds. */
 export const TOKENS_PER_KV_BLOCK = 64;
 const DEFAULT_MAX_RUNNING = 64;
-const DEFAULT_PIECES = 1000;
+const DEFAULT_KV_BLOCKS = 1000;
 const DEMAND_WINDOW_MS = 8000;
 export const TOKENS_PER_PREFIX_BLOCK = BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
 
@@ -32,13 +32,14 @@
 	readonly clock: Clock;
 };
 
-/** Joins what is known of the servers into candidates for the choice. */
+/** Combines the announcements, loads, health and cached prefixes of the servers into candidates for routing. */
 export class ServerPool {
 	readonly loads = new LoadTracker();
 	readonly prefixes = new PrefixIndex();
 	readonly health = new HealthTracker();
-	readonly progress = new StreamGapTracker();
-	readonly #meters = new Map<string, DemandEstimator>();
+	/** Times between the tokens of a stream, by engine. */
+	readonly streamGaps = new StreamGapTracker();
+	readonly #demandEstimators = new Map<string, DemandEstimator>();
 	readonly #options: ServerPoolOptions;
 	readonly #incarnations = new Map<string, number>();
 
@@ -46,7 +47,7 @@
 		this.#options = options;
 	}
 
-	/** Takes news of a server in. */
+	/** Updates load and, when a server has restarted, health and cached prefixes from a new fact. */
 	handleFact(fact: Fact): void {
 		if (fact.type !== 'server') {
 			return;
@@ -64,94 +65,94 @@
 		}
 	}
 
-	/** Notes a request's work for the leader's choice of roles. */
+	/** Records the demand of a request, from which the leader assigns roles to engines. */
 	recordDemand(model: string, shape: {readonly promptTokens: number; readonly outputTokens: number}): void {
 		const nowMs = this.#options.clock.monotonicMs();
-		let meter = this.#meters.get(model);
-		if (!meter) {
-			meter = new DemandEstimator(DEMAND_WINDOW_MS, nowMs);
-			this.#meters.set(model, meter);
+		let estimator = this.#demandEstimators.get(model);
+		if (!estimator) {
+			estimator = new DemandEstimator(DEMAND_WINDOW_MS, nowMs);
+			this.#demandEstimators.set(model, estimator);
 		}
 
 		const {prefillMs, decodeMs} = estimateEngineTime(shape, DEFAULT_ENGINE_SPEED);
-		meter.record(prefillMs, decodeMs, nowMs);
+		estimator.record(prefillMs, decodeMs, nowMs);
 	}
 
-	/** Work that came in through this host, by model. */
+	/** Returns the recent demand for each model at this host. */
 	readDemand(): ModelDemand[] {
 		const nowMs = this.#options.clock.monotonicMs();
-		return [...this.#meters].map(([model, meter]) => ({model, ...meter.current(nowMs)}));
+		return [...this.#demandEstimators].map(([model, estimator]) => ({model, ...estimator.current(nowMs)}));
 	}
 
 	findServer(server: string): Announcement | undefined {
 		return this.#options.directory.findServer(server);
 	}
 
-	/** Engines that may take a request for a model. */
+	/** Lists the engines that may run a request for a model. */
 	listEngines(model: string, prompt: string, excluded: ReadonlySet<string>): Candidate[] {
 		const hashes = hashBlocks(prompt);
 		const engines = this.#listUsable(excluded, announcement => servesModel(announcement, model));
-		const homes = this.#findHomes(engines, hashes);
-		return engines.map(announcement => this.#createCandidate(announcement, hashes, homes.has(announcement.server)));
+		const owners = this.#findPrefixOwners(engines, hashes);
+		return engines.map(announcement => this.#createCandidate(announcement, hashes, owners.has(announcement.server)));
 	}
 
-	/** Plain servers that may take a call to a service. */
+	/** Lists the plain servers that may run a call to a service. */
 	listPlainServers(service: string, excluded: ReadonlySet<string>): Announcement[] {
 		return this.#listUsable(excluded, announcement => announcement.kind === 'plain' && (announcement.services ?? []).includes(service));
 	}
 
-	/** Models that some engine serves. */
+	/** Lists the models that at least one server serves. */
 	listModels(): string[] {
 		const servers = this.#options.directory.listServers(this.#options.clock.monotonicMs());
 		return [...new Set(servers.flatMap(announcement => announcement.models ?? []))].toSorted();
 	}
 
-	/** Tokens that all engines of a model hold. */
+	/** Computes the number of tokens that the KV caches of all usable engines of a model hold. */
 	computeCapacityTokens(model: string): number {
 		const servers = this.#listUsable(new Set(), announcement => servesModel(announcement, model));
-		return servers.reduce((sum, announcement) => sum + ((announcement.capacity ?? DEFAULT_PIECES) * TOKENS_PER_KV_BLOCK), 0);
+		return servers.reduce((sum, announcement) => sum + ((announcement.capacity ?? DEFAULT_KV_BLOCKS) * TOKENS_PER_KV_BLOCK), 0);
 	}
 
-	/** Suspected servers come back into the choice when nothing else is left. */
-	#listUsable(excluded: ReadonlySet<string>, isWanted: (announcement: Announcement) => boolean): Announcement[] {
+	/** Lists the wanted servers that are usable. Unhealthy ones are included only if there are no others. */
+	#listUsable(excluded: ReadonlySet<string>, matches: (announcement: Announcement) => boolean): Announcement[] {
 		const nowMs = this.#options.clock.monotonicMs();
 		const usable = this.#options.directory.listServers(nowMs).filter(announcement => announcement.leaving !== true
-			&& isWanted(announcement)
+			&& matches(announcement)
 			&& !excluded.has(announcement.server)
 			&& !this.#options.view.findExclusion(announcement.server));
 		const healthy = usable.filter(announcement => !this.health.isSuspected(announcement.server, nowMs));
 		return healthy.length > 0 ? healthy : usable;
 	}
 
-	/** A prefix that was seen before is at home at one engine of each role. */
-	#findHomes(engines: readonly Announcement[], hashes: readonly number[]): Set<string> {
-		const homes = new Set<string>();
-		const deepest = hashes[this.prefixes.countSeen(hashes) - 1];
-		for (const role of deepest === undefined ? [] : Object.values(ENGINE_ROLES)) {
-			const peers = engines.filter(engine => this.#roleOf(engine) === role).map(({server}) => server);
-			homes.add(findPrefixOwner(peers, deepest!) ?? '');
+	/** Finds the engines that own the longest known prefix of a prompt: one for each role. */
+	#findPrefixOwners(engines: readonly Announcement[], hashes: readonly number[]): Set<string> {
+		const owners = new Set<string>();
+		const longestPrefixHash = hashes[this.prefixes.countSeen(hashes) - 1];
+		for (const role of longestPrefixHash === undefined ? [] : Object.values(ENGINE_ROLES)) {
+			const servers = engines.filter(engine => this.#getRole(engine) === role).map(({server}) => server);
+			owners.add(findPrefixOwner(servers, longestPrefixHash!) ?? '');
 		}
 
-		return homes;
+		return owners;
 	}
 
-	#createCandidate(announcement: Announcement, hashes: readonly number[], isHome: boolean): Candidate {
+	#createCandidate(announcement: Announcement, hashes: readonly number[], isPrefixOwner: boolean): Candidate {
 		const {server} = announcement;
-		const pieces = announcement.capacity ?? DEFAULT_PIECES;
+		const kvBlocks = announcement.capacity ?? DEFAULT_KV_BLOCKS;
 		return {
 			server,
-			role: this.#roleOf(announcement),
+			role: this.#getRole(announcement),
 			dataCentre: announcement.dataCentre ?? '',
 			load: this.loads.estimate(server),
 			speed: DEFAULT_ENGINE_SPEED,
-			cachedTokens: this.prefixes.estimateCached(server, hashes, isHome) * TOKENS_PER_PREFIX_BLOCK,
-			isPrefixOwner: isHome,
+			cachedTokens: this.prefixes.estimateCached(server, hashes, isPrefixOwner) * TOKENS_PER_PREFIX_BLOCK,
+			isPrefixOwner,
 			maxRunning: DEFAULT_MAX_RUNNING,
-			kvTokens: pieces * TOKENS_PER_KV_BLOCK,
+			kvTokens: kvBlocks * TOKENS_PER_KV_BLOCK,
 		};
 	}
 
-	#roleOf(announcement: Announcement): EngineRole {
+	#getRole(announcement: Announcement): EngineRole {
 		return announcement.role ?? ENGINE_ROLES.mixed;
 	}
 }
--- a/src/membership/feed.ts
+++ b/src/membership/feed.ts
@@ -1,8 +1,10 @@
 /**
- * What control hosts know, pushed to every host that subscribes: the publication, backend servers, control hosts.
+ * The feed: control hosts push the publication, the status of backend servers, and the list of control hosts to
+ * every subscribed host.
  *
- * Every entry host subscribes to every control host, so that a server that leaves or a new publication is known
- * everywhere one network trip after any control host learned of it, whichever of them is down or cut off.
+ * Every entry host subscribes to every control host. A new publication or a server that deregisters thus reaches all
+ * entry hosts within one network round after any control host learns of it, even if other control hosts are down or
+ * partitioned.
  *
  * @module
  */
@@ -18,14 +20,18 @@
 import {connect, type Address, type Connection} from '../wire/connection.js';
 import type {ServerRegistry} from './registry.js';
 
-/** Sign of life; a subscriber gives a connection up after four missed ones. */
+/** Interval of heartbeats in both directions. A subscriber drops a connection after four missed ones. */
 export const FEED_INTERVAL_MS = 300;
-const SILENCE_LIMIT_MS = 1200;
-/** Changes within this time share one feed. */
-const COALESCE_MS = 5;
-/** A publication waits while this much is on its way, so that a storm of them sends only the last. */
+const HEARTBEAT_TIMEOUT_MS = 1200;
+/** Changes within this time are sent in one feed message. */
+const COALESCE_DELAY_MS = 5;
+/**
+ * No publication is sent while this much unsent data is buffered on the connection. When publications arrive in quick
+ * succession, a slow subscriber thus receives only the latest.
+ */
 const MAX_BUFFERED_BYTES = 32 * 1024;
 
+/** A publication in its published form: JSON text. */
 export type PublicationText = {
 	readonly version: number;
 	readonly body: string;
@@ -44,19 +50,21 @@
 type Subscriber = {
 	readonly host: string;
 	readonly role: Watch['role'];
+	/** Version of the latest publication it holds or was sent. */
 	version: number;
+	/** Revision of the server registry up to which changes were sent. */
 	revision: number;
 	isNew: boolean;
-	heardMs: number;
+	lastReceivedMs: number;
 };
 
-/** The publishing side, on a control host. Whoever created it closes it. */
+/** Publishes the feed of a control host. Its creator must close it. */
 export class FeedPublisher {
 	readonly #options: FeedPublisherOptions;
 	readonly #subscribers = new Map<Connection, Subscriber>();
 	readonly #timer: NodeJS.Timeout;
 	#pending: NodeJS.Timeout | undefined;
-	#deflated: {readonly version: number; readonly bytes: Uint8Array} | undefined;
+	#compressed: {readonly version: number; readonly bytes: Uint8Array} | undefined;
 
 	constructor(options: FeedPublisherOptions) {
 		this.#options = options;
@@ -65,7 +73,7 @@
 		}, FEED_INTERVAL_MS);
 	}
 
-	/** Entry hosts that are subscribed. */
+	/** Number of subscribed entry hosts. */
 	get entryHostCount(): number {
 		const hosts = new Set<string>();
 		for (const {host, role} of this.#subscribers.values()) {
@@ -77,16 +85,17 @@
 		return hosts.size;
 	}
 
+	/** Subscribes the connection, or records a heartbeat of an existing subscriber. */
 	handleWatch(message: Watch, connection: Connection): void {
 		const known = this.#subscribers.get(connection);
 		if (known) {
 			known.version = Math.max(known.version, message.version);
-			known.heardMs = this.#options.clock.monotonicMs();
+			known.lastReceivedMs = this.#options.clock.monotonicMs();
 			return;
 		}
 
 		this.#subscribers.set(connection, {
-			host: message.host, role: message.role, version: message.version, revision: 0, isNew: true, heardMs: this.#options.clock.monotonicMs(),
+			host: message.host, role: message.role, version: message.version, revision: 0, isNew: true, lastReceivedMs: this.#options.clock.monotonicMs(),
 		});
 		connection.onClose(() => {
 			this.#subscribers.delete(connection);
@@ -94,12 +103,12 @@
 		this.notify();
 	}
 
-	/** Tells that something has changed; it is pushed within a few milliseconds. */
+	/** Schedules a push of what has changed, within a few milliseconds. */
 	notify(): void {
 		this.#pending ??= setTimeout(() => {
 			this.#pending = undefined;
 			this.#publish(false);
-		}, COALESCE_MS);
+		}, COALESCE_DELAY_MS);
 	}
 
 	close(): void {
@@ -107,16 +116,16 @@
 		clearTimeout(this.#pending);
 	}
 
-	#publish(isDue: boolean): void {
+	#publish(isHeartbeat: boolean): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		for (const [connection, subscriber] of this.#subscribers) {
-			if (nowMs - subscriber.heardMs > SILENCE_LIMIT_MS * 2) {
+			if (nowMs - subscriber.lastReceivedMs > HEARTBEAT_TIMEOUT_MS * 2) {
 				connection.close();
 				continue;
 			}
 
 			const feed = this.#createFeed(connection, subscriber);
-			if (isDue || feed.whole || feed.publication !== undefined || feed.sightings.length > 0) {
+			if (isHeartbeat || feed.whole || feed.publication !== undefined || feed.sightings.length > 0) {
 				connection.send(feed);
 			}
 		}
@@ -140,23 +149,23 @@
 		subscriber.isNew = false;
 		if (publication && publication.version > subscriber.version && connection.bufferedBytes < MAX_BUFFERED_BYTES) {
 			subscriber.version = publication.version;
-			return {...feed, publication: this.#deflate(publication)};
+			return {...feed, publication: this.#compress(publication)};
 		}
 
 		return feed;
 	}
 
-	#deflate({version, body}: PublicationText): Uint8Array {
-		if (this.#deflated?.version !== version) {
-			this.#deflated = {version, bytes: deflateRawSync(body)};
+	#compress({version, body}: PublicationText): Uint8Array {
+		if (this.#compressed?.version !== version) {
+			this.#compressed = {version, bytes: deflateRawSync(body)};
 		}
 
-		return this.#deflated.bytes;
+		return this.#compressed.bytes;
 	}
 }
 
 /**
- * Unpacks the publication of a feed.
+ * Decompresses the publication in a feed message.
  *
  * @example
  * ```ts
@@ -171,37 +180,38 @@
 	readonly host: string;
 	readonly dataCentre: string;
 	readonly role: Watch['role'];
-	/** Control hosts told at the start; they are never forgotten. */
+	/** Control hosts from the settings. They are never removed. */
 	readonly seeds: readonly Address[];
 	readonly clock: Clock;
 	readonly logger: Logger;
-	/** Version of the publication held. */
+	/** Returns the version of the publication held. */
 	readonly readVersion: () => number;
 	readonly onFeed: (feed: Feed, control: string) => void;
-	/** Called with any other message that a control host sends. */
+	/** Called with every message from a control host that is not a feed. */
 	readonly onMessage?: (message: Message, control: string) => void;
 	readonly onDisconnect?: (control: string) => void;
 };
 
+/** A control host to subscribe to. */
 type Source = {
 	readonly address: Address;
 	connection: Connection | undefined;
-	openedMs: number;
-	heardMs: number;
+	connectStartedMs: number;
+	lastReceivedMs: number;
 	hasQuorum: boolean;
 	isWarm: boolean;
-	/** When it was last named as a control host, or told at the start. */
-	namedMs: number;
+	/** Monotonic time at which a feed or the settings last listed this control host, milliseconds. */
+	lastListedMs: number;
 };
 
-/** A control host that is not named any more is forgotten after this time. */
-const FORGET_MS = 60_000;
+/** Time after which a control host that no feed lists any more is removed. */
+const SOURCE_RETENTION_MS = 60_000;
 
-/** The subscribing side: one connection to every control host heard of. Whoever created it closes it. */
+/** Subscribes to the feeds of all known control hosts, one connection each. Its creator must close it. */
 export class FeedSubscription {
 	readonly #options: FeedSubscriptionOptions;
 	readonly #sources = new Map<string, Source>();
-	readonly #told = new Set<string>();
+	readonly #seedKeys = new Set<string>();
 	readonly #timer: NodeJS.Timeout;
 	#isClosed = false;
 
@@ -214,25 +224,25 @@
 		this.#tick();
 	}
 
-	/** Takes control hosts that the settings name now; earlier ones stay known. */
+	/** Adds control hosts from the settings. Earlier seeds are kept. */
 	addSeeds(seeds: readonly Address[]): void {
 		for (const seed of seeds) {
-			this.#told.add(toKey(seed));
-			this.#learn(seed);
+			this.#seedKeys.add(formatKey(seed));
+			this.#addSource(seed);
 		}
 	}
 
-	/** Control hosts heard of, live or not. */
+	/** Lists the addresses of all known control hosts, reachable or not. */
 	listAddresses(): Address[] {
 		return [...this.#sources.values()].map(source => source.address);
 	}
 
-	/** Control hosts that were heard a moment ago and had a majority then, in the same order on every host. */
+	/** Lists the control hosts that recently sent a feed and had a majority then, in the same order on every host. */
 	listLive(): string[] {
 		const nowMs = this.#options.clock.monotonicMs();
 		const live: string[] = [];
 		for (const [key, source] of this.#sources) {
-			if (source.connection?.isOpen && source.hasQuorum && nowMs - source.heardMs < SILENCE_LIMIT_MS) {
+			if (source.connection?.isOpen && source.hasQuorum && nowMs - source.lastReceivedMs < HEARTBEAT_TIMEOUT_MS) {
 				live.push(key);
 			}
 		}
@@ -240,11 +250,12 @@
 		return live.toSorted();
 	}
 
+	/** Whether a control host has run long enough to have received an announcement of every live server. */
 	isWarm(control: string): boolean {
 		return this.#sources.get(control)?.isWarm ?? false;
 	}
 
-	/** Sends a message to one control host; false if there is no connection to it. */
+	/** Sends a message to one control host. Returns false if there is no open connection to it. */
 	send(control: string, message: Message): boolean {
 		const connection = this.#sources.get(control)?.connection;
 		if (!connection?.isOpen) {
@@ -266,24 +277,24 @@
 	#tick(): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		for (const [key, source] of this.#sources) {
-			const isSilent = nowMs - Math.max(source.heardMs, source.openedMs) > SILENCE_LIMIT_MS;
-			if (source.connection?.isOpen && !isSilent) {
+			const isTimedOut = nowMs - Math.max(source.lastReceivedMs, source.connectStartedMs) > HEARTBEAT_TIMEOUT_MS;
+			if (source.connection?.isOpen && !isTimedOut) {
 				source.connection.send(this.#createWatch());
 				continue;
 			}
 
 			source.connection?.close();
-			if (nowMs - source.namedMs > FORGET_MS && !this.#told.has(key)) {
+			if (nowMs - source.lastListedMs > SOURCE_RETENTION_MS && !this.#seedKeys.has(key)) {
 				this.#sources.delete(key);
 				continue;
 			}
 
-			this.#open(key, source, nowMs);
+			this.#connect(key, source, nowMs);
 		}
 	}
 
-	#open(key: string, source: Source, nowMs: number): void {
-		source.openedMs = nowMs;
+	#connect(key: string, source: Source, nowMs: number): void {
+		source.connectStartedMs = nowMs;
 		const connection = connect(source.address, message => {
 			if (source.connection === connection) {
 				this.#onMessage(message, key, source);
@@ -293,7 +304,7 @@
 		connection.onClose(() => {
 			if (source.connection === connection && !this.#isClosed) {
 				if (source.hasQuorum) {
-					this.#options.logger.warn(`Lost control host ${key}.`, {control: key});
+					this.#options.logger.warn(`Connection to control host ${key} closed.`, {control: key});
 				}
 
 				source.hasQuorum = false;
@@ -310,37 +321,37 @@
 		}
 
 		const nowMs = this.#options.clock.monotonicMs();
-		source.heardMs = nowMs;
+		source.lastReceivedMs = nowMs;
 		if (source.hasQuorum !== message.hasQuorum) {
-			this.#options.logger.info(`Control host ${key} ${message.hasQuorum ? 'has' : 'has lost'} its majority.`, {control: key});
+			this.#options.logger.info(`Control host ${key} ${message.hasQuorum ? 'is' : 'is no longer'} connected to a majority of the control hosts.`, {control: key});
 		}
 
 		source.hasQuorum = message.hasQuorum;
 		source.isWarm = message.isWarm;
 		for (const member of message.members) {
-			this.#learn(member);
+			this.#addSource(member);
 		}
 
 		this.#options.onFeed(message, key);
 	}
 
-	#learn(address: Address): void {
-		const key = toKey(address);
+	#addSource(address: Address): void {
+		const key = formatKey(address);
 		const nowMs = this.#options.clock.monotonicMs();
 		const known = this.#sources.get(key);
 		if (known) {
-			known.namedMs = nowMs;
+			known.lastListedMs = nowMs;
 			return;
 		}
 
 		this.#sources.set(key, {
 			address: {address: address.address, port: address.port},
 			connection: undefined,
-			openedMs: Number.NEGATIVE_INFINITY,
-			heardMs: Number.NEGATIVE_INFINITY,
+			connectStartedMs: Number.NEGATIVE_INFINITY,
+			lastReceivedMs: Number.NEGATIVE_INFINITY,
 			hasQuorum: false,
 			isWarm: false,
-			namedMs: nowMs,
+			lastListedMs: nowMs,
 		});
 	}
 
@@ -352,6 +363,6 @@
 	}
 }
 
-function toKey({address, port}: Address): string {
+function formatKey({address, port}: Address): string {
 	return `${address}:${port}`;
 }
--- a/test/operator.test.ts
+++ b/test/operator.test.ts
@@ -15,30 +15,30 @@
 	await fixture.stop();
 });
 
-test('operators without a key are refused, callers are not', async () => {
+test('operators without a key are rejected, callers are not', async () => {
 	const refused = await fetch(`${fixture.url}/api/v1/resources`);
 	assert.deepEqual([refused.status, refused.headers.get('carawayhoist-code')], [401, '2005']);
 	assert.equal((await fetch(`${fixture.url}/v1/models`)).status, 200);
 });
 
-test('of two puts with the same version one wins; the loser learns the winner\'s version', async () => {
+test('of concurrent puts with the same version one wins; the others get the winner\'s version', async () => {
 	const first = await put('team', 'x', {kind: 'team'}, {seen: 0});
 	const {version} = await first.json() as {version: number};
 	const answers = await Promise.all([1, 2, 3].map(async weight => put('team', 'x', {kind: 'team', weight}, {seen: version})));
-	const won = answers.filter(({status}) => status === 200);
-	const lost = answers.filter(({status}) => status === 409);
-	assert.deepEqual([won.length, lost.length], [1, 2]);
-	const winner = await won[0]!.json() as {version: number};
-	const {error} = await lost[0]!.json() as {error: {code: number; version: number; outcome: string}};
+	const winners = answers.filter(({status}) => status === 200);
+	const losers = answers.filter(({status}) => status === 409);
+	assert.deepEqual([winners.length, losers.length], [1, 2]);
+	const winner = await winners[0]!.json() as {version: number};
+	const {error} = await losers[0]!.json() as {error: {code: number; version: number; outcome: string}};
 	assert.deepEqual([error.code, error.version, error.outcome], [5001, winner.version, 'not-run']);
 });
 
-test('a put that is sent again with its key gets the first answer', async () => {
+test('a put that is retried with the same idempotency key gets the first response', async () => {
 	const send = async () => (await put('team', 'again', {kind: 'team'}, {seen: 0, key: 'one-intent'})).json();
 	assert.deepEqual(await send(), await send());
 });
 
-test('wrong resources are refused with the fields named', async () => {
+test('invalid resources are rejected with the names of the invalid fields', async () => {
 	const response = await put('service', 'bad', {kind: 'service', routes: [{method: 'FETCH', path: 'x', repeatable: true}]}, {});
 	const {error} = await response.json() as {error: {code: number; message: string}};
 	assert.equal(error.code, 5002);
@@ -47,7 +47,7 @@
 	assert.equal((await call('GET', 'resources/nonsense')).status, 404);
 });
 
-test('a watch tells every change in order and is resumed from a version', async () => {
+test('a watch reports every change in order and can be resumed from a version', async () => {
 	const abort = new AbortController();
 	const seen: Update[] = [];
 	const versions: number[] = [];
@@ -71,10 +71,10 @@
 	const names = new Set(seen.flatMap(({resources}) => resources.map(({name}) => name)));
 	assert.ok(['w1', 'w2', 'w3', 'w4'].every(name => names.has(name)));
 	const resumed: Update[] = [];
-	const again = new AbortController();
-	const reader = readUpdates(await call('GET', `watch?from=${versions[2]!}`, again.signal), resumed, 1);
+	const resumedAbort = new AbortController();
+	const reader = readUpdates(await call('GET', `watch?from=${versions[2]!}`, resumedAbort.signal), resumed, 1);
 	await reader;
-	again.abort();
+	resumedAbort.abort();
 	assert.deepEqual(resumed[0]?.resources.map(({name}) => name).toSorted(), ['w3', 'w4']);
 	assert.deepEqual(resumed[0]?.removed, ['team/w0']);
 });
@@ -91,19 +91,19 @@
 	return fetch(`${fixture.url}/api/v1/${path}`, {method, signal, headers: {authorization: `Bearer ${KEY}`}});
 }
 
-/** Collects updates until the watch ends or enough have come. */
-async function readUpdates(response: Response, into: Update[], enough = Number.POSITIVE_INFINITY): Promise<void> {
+/** Collects updates until the watch ends or enough have arrived. */
+async function readUpdates(response: Response, updates: Update[], enough = Number.POSITIVE_INFINITY): Promise<void> {
 	let rest = '';
 	try {
 		for await (const chunk of response.body ?? []) {
 			const lines = (rest + new TextDecoder().decode(chunk as Uint8Array)).split('\n');
 			rest = lines.pop() ?? '';
-			into.push(...lines.map(line => JSON.parse(line) as Update));
-			if (into.length >= enough) {
+			updates.push(...lines.map(line => JSON.parse(line) as Update));
+			if (updates.length >= enough) {
 				return;
 			}
 		}
 	} catch {
-		// The reader has ended the watch.
+		// The test has aborted the watch.
 	}
 }
