--- a/src/daemon/controlhost.ts
+++ b/src/daemon/controlhost.ts
@@ -1,5 +1,8 @@
 /**
- * A control host: the replicated state, the register of backend servers, the feed of both, and the placing of streams.
+ * Control host of the platform.
+ *
+ * It keeps the replicated control state and the registry of backend servers, feeds both to the entry hosts, and schedules
+ * streamed requests for them.
  *
  * @module
  */
@@ -31,10 +34,12 @@
 export type ControlHostOptions = {
 	readonly host: string;
 	readonly dataCentre: string;
-	/** Where the system's own processes reach this host. */
+	/** Address at which the other hosts reach this one. */
 	readonly peerAddress: Address;
 	readonly dataFolder: string;
+	/** Control hosts to contact first. */
 	readonly seeds: readonly Address[];
+	/** Whether the whole system starts for the first time, so that the initial configuration may be created. */
 	readonly firstStart: boolean;
 	readonly clock: Clock;
 	readonly random: Random;
@@ -42,53 +47,53 @@
 	readonly metrics: ControlMetrics;
 	readonly protocol: Pick<ProtocolAdapter, 'parseRoutingConfig'>;
 	readonly createOrderTransport: (findServer: (server: string) => Announcement | undefined) => OrderTransport;
-	/** Time between the orders of two control hosts, milliseconds. */
+	/** Minimum time between orders of two different control hosts, in milliseconds. */
 	readonly leaseMs: number;
-	/** Interval of announcements, milliseconds. */
+	/** Interval between two announcements of a backend server, in milliseconds. */
 	readonly announceIntervalMs: number;
 };
 
-/** Operators turn to another host after a second without an answer. */
+/** Deadlines of operator requests. Operators try another host after one second without a response. */
 const PUBLISH_DEADLINE_MS = 3000;
 const READ_DEADLINE_MS = 900;
 const TICK_MS = 250;
-/** Announcements are missed for this many intervals before a server counts as silent. */
+/** Number of announcement intervals without an announcement after which a server counts as silent. */
 const SILENT_INTERVALS = 5;
-/** A host that has run for this many intervals has heard every live server. */
+/** Number of announcement intervals after which a newly started host has received an announcement of every live server. */
 const WARM_INTERVALS = 2.5;
-/** Margin on the time between the orders of two control hosts, milliseconds: transit of the last one. */
-const SUCCESSION_MARGIN_MS = 1000;
-/** Pause after a role change before the next one is planned, milliseconds. */
-const ROLE_DWELL_MS = 6000;
-/** A system that starts for the first time counts as new for this long, milliseconds: before its callers come. */
-const NEW_MS = 10_000;
-
-/** A running control host. Whoever started it stops it. */
+/** Added to the minimum time between orders of two control hosts, because the last order may still be in transit. */
+const TAKEOVER_MARGIN_MS = 1000;
+/** Minimum time between a planned role change and the next one, in milliseconds. */
+const ROLE_CHANGE_COOLDOWN_MS = 6000;
+/** Duration of the startup phase of a system that starts for the first time, in milliseconds. Callers arrive later. */
+const STARTUP_MS = 10_000;
+
+/** A running control host. Whoever starts it must stop it. */
 export class ControlHost {
 	readonly registry: ServerRegistry;
 	readonly #options: ControlHostOptions;
 	readonly #logger: Logger;
-	readonly #service: ControlService;
-	readonly #client: ControlClient;
+	readonly #controlService: ControlService;
+	readonly #controlClient: ControlClient;
 	readonly #publisher: FeedPublisher;
 	readonly #subscription: FeedSubscription;
 	readonly #listener: Listener;
-	readonly #placer = new Scheduler();
-	readonly #roles = new RolePlanner();
+	readonly #scheduler = new Scheduler();
+	readonly #rolePlanner = new RolePlanner();
 	readonly #timer: NodeJS.Timeout;
 	readonly #startedMs: number;
-	#table: RouteTable | undefined;
-	#roleChangedMs = Number.NEGATIVE_INFINITY;
+	#routeTable: RouteTable | undefined;
+	#lastRoleChangeMs = Number.NEGATIVE_INFINITY;
 
 	private constructor(options: ControlHostOptions, service: ControlService, registry: ServerRegistry, listener: Listener) {
 		this.#options = options;
 		this.#logger = options.loggers('control');
-		this.#service = service;
+		this.#controlService = service;
 		this.registry = registry;
 		this.#listener = listener;
 		this.#startedMs = options.clock.monotonicMs();
 		const {clock, host, dataCentre, seeds} = options;
-		this.#client = new ControlClient({seeds: [options.peerAddress, ...seeds.filter(seed => !isSame(seed, options.peerAddress))], clock, onViewPushed: () => undefined});
+		this.#controlClient = new ControlClient({seeds: [options.peerAddress, ...seeds.filter(seed => !isSameAddress(seed, options.peerAddress))], clock, onViewPushed: () => undefined});
 		this.#publisher = new FeedPublisher({
 			host,
 			registry,
@@ -102,43 +107,43 @@
 			host,
 			dataCentre,
 			role: 'control',
-			seeds: seeds.filter(seed => !isSame(seed, options.peerAddress)),
+			seeds: seeds.filter(seed => !isSameAddress(seed, options.peerAddress)),
 			clock,
 			logger: options.loggers('membership'),
 			readVersion: () => Number.MAX_SAFE_INTEGER,
 			onFeed: feed => {
-				for (const sighting of feed.sightings) {
-					this.#noteMerge(this.registry.mergeStatus(sighting, clock.monotonicMs()), sighting.announcement);
+				for (const status of feed.sightings) {
+					this.#handleMergeResult(this.registry.mergeStatus(status, clock.monotonicMs()), status.announcement);
 				}
 			},
 		});
 		this.#timer = setInterval(() => {
 			this.#tick();
 		}, TICK_MS);
-		this.#onApplied();
+		this.#applyState();
 	}
 
-	/** Opens the data folder and starts. */
+	/** Starts the control service on the data folder and listens for the other hosts. */
 	static async start(options: ControlHostOptions): Promise<Either.Either<Problem, ControlHost>> {
 		const registry = new ServerRegistry({...DEFAULT_REGISTRY_TIMING, silentAfterMs: options.announceIntervalMs * SILENT_INTERVALS});
 		const holder: {host?: ControlHost} = {};
 		const listener = new Listener((message, connection) => {
 			holder.host?.receive(message, connection);
 		});
-		const {peerAddress: peer} = options;
+		const {peerAddress} = options;
 		const service = await ControlService.start({
-			host: peer.address,
+			host: peerAddress.address,
 			folder: options.dataFolder,
 			peers: options.seeds.map(seed => ({host: seed.address, ...seed})),
-			self: {host: peer.address, ...peer},
+			self: {host: peerAddress.address, ...peerAddress},
 			listPeers: () => holder.host?.listControlAddresses() ?? options.seeds,
 			canBootstrap: options.firstStart,
 			clock: options.clock,
 			random: options.random,
 			loggers: options.loggers,
 			orderTransport: options.createOrderTransport(server => registry.findStatus(server)?.announcement),
-			controllerTiming: {...DEFAULT_CONTROLLER_TIMING, minTakeoverMs: options.leaseMs + SUCCESSION_MARGIN_MS},
-			// Engines finish what runs before they change their role.
+			controllerTiming: {...DEFAULT_CONTROLLER_TIMING, minTakeoverMs: options.leaseMs + TAKEOVER_MARGIN_MS},
+			// Engines finish running requests themselves before they change their role, so orders need not wait for that.
 			orderSafeguards: {...ALL_ORDER_SAFEGUARDS, awaitViewAcknowledgements: false, awaitIdle: false},
 			listEngines: () => registry.listUsable().filter(({kind}) => kind === 'engine'),
 			onApplied() {
@@ -149,7 +154,7 @@
 			return service;
 		}
 
-		const listening = await listener.listen(peer);
+		const listening = await listener.listen(peerAddress);
 		if (Either.isLeft(listening)) {
 			await service.right.close();
 			return listening;
@@ -159,42 +164,43 @@
 		return Either.right(holder.host);
 	}
 
-	/** Whether a majority of the control hosts was in touch a moment ago. */
+	/** Whether this host was recently in contact with a majority of the control hosts. */
 	get hasQuorum(): boolean {
-		return this.#service.hasQuorum;
+		return this.#controlService.hasQuorum;
 	}
 
+	/** Addresses of all known control hosts: those that the feed reported and the members of the replicated log. */
 	listControlAddresses(): Address[] {
-		const own = this.#service.listMembers().map(({address, port}) => ({address, port}));
-		return [...this.#subscription.listAddresses(), ...own];
+		const members = this.#controlService.listMembers().map(({address, port}) => ({address, port}));
+		return [...this.#subscription.listAddresses(), ...members];
 	}
 
-	/** Takes control hosts that the settings name now. */
+	/** Applies changed settings: adds the control hosts that they name. */
 	applySettings({seeds}: Pick<ControlHostOptions, 'seeds'>): void {
-		this.#subscription.addSeeds(seeds.filter(seed => !isSame(seed, this.#options.peerAddress)));
+		this.#subscription.addSeeds(seeds.filter(seed => !isSameAddress(seed, this.#options.peerAddress)));
 	}
 
-	/** Takes an announcement; refused without a majority, so that the server turns to another host. */
+	/** Merges an announcement into the registry. Refuses it without a majority, so that the server tries another host. */
 	handleAnnouncement(announcement: Announcement): Either.Either<Problem, void> {
-		if (!this.#service.hasQuorum) {
+		if (!this.#controlService.hasQuorum) {
 			this.#options.metrics.announcements.inc({outcome: 'refused'});
 			return Either.left(createProblem('noQuorum', undefined, 1));
 		}
 
-		const merge = this.registry.merge(announcement, this.#options.clock.monotonicMs());
-		this.#options.metrics.announcements.inc({outcome: merge});
-		this.#noteMerge(merge, announcement);
+		const result = this.registry.merge(announcement, this.#options.clock.monotonicMs());
+		this.#options.metrics.announcements.inc({outcome: result});
+		this.#handleMergeResult(result, announcement);
 		return Either.right(undefined);
 	}
 
-	/** Takes a server's leave. */
+	/** Removes a server that stops for good. Refuses without a majority, like `handleAnnouncement`. */
 	deregister(server: string): Either.Either<Problem, void> {
-		if (!this.#service.hasQuorum) {
+		if (!this.#controlService.hasQuorum) {
 			return Either.left(createProblem('noQuorum', undefined, 1));
 		}
 
 		if (this.registry.deregister(server)) {
-			this.#logger.info(`Server ${server} leaves.`, {server});
+			this.#logger.info(`Server ${server} deregistered.`, {server});
 			this.#publisher.notify();
 			this.#updateEngines();
 		}
@@ -202,18 +208,21 @@
 		return Either.right(undefined);
 	}
 
-	/** Puts a publication in force, unless a later one is; returns once it cannot be lost any more. */
+	/**
+	 * Commits a publication to the replicated log, unless the one in force has the same or a higher version. Returns once it
+	 * is committed, so that it cannot be lost any more.
+	 */
 	async publish(text: string): Promise<Either.Either<Problem, void>> {
-		const {protocol: dialect, metrics} = this.#options;
-		const catalogue = dialect.parseRoutingConfig(text);
-		if (Either.isLeft(catalogue)) {
+		const {protocol, metrics} = this.#options;
+		const config = protocol.parseRoutingConfig(text);
+		if (Either.isLeft(config)) {
 			metrics.publications.inc({outcome: 'invalid'});
-			this.#logger.warn(`Refused a publication: ${catalogue.left.text}`, {bytes: text.length});
-			return catalogue;
+			this.#logger.warn(`Rejected an invalid publication: ${config.left.text}`, {bytes: text.length});
+			return config;
 		}
 
-		const {version} = catalogue.right;
-		const current = this.#service.state.publication;
+		const {version} = config.right;
+		const current = this.#controlService.state.publication;
 		if (current && current.version >= version) {
 			metrics.publications.inc({outcome: 'superseded'});
 			return Either.right(undefined);
@@ -227,18 +236,18 @@
 			seen: ANY_VERSION,
 			specification: {kind: 'publication', version, body: text},
 		};
-		const proposed = await this.#client.propose(command, PUBLISH_DEADLINE_MS)();
-		metrics.publications.inc({outcome: Either.isRight(proposed) ? 'accepted' : 'unanswered'});
-		this.#logger.info(`Publication ${version} is ${Either.isRight(proposed) ? 'accepted' : 'not accepted'}.`, {
-			version, bytes: text.length, reason: Either.isLeft(proposed) ? proposed.left.text : undefined,
+		const result = await this.#controlClient.propose(command, PUBLISH_DEADLINE_MS)();
+		metrics.publications.inc({outcome: Either.isRight(result) ? 'accepted' : 'unanswered'});
+		this.#logger.info(`Publication ${version} is ${Either.isRight(result) ? 'accepted' : 'not accepted'}.`, {
+			version, bytes: text.length, reason: Either.isLeft(result) ? result.left.text : undefined,
 		});
-		return Either.isLeft(proposed) ? proposed : Either.right(undefined);
+		return Either.isLeft(result) ? result : Either.right(undefined);
 	}
 
-	/** Reads the publication in force now; a majority confirms it. */
+	/** Returns the publication in force. The read is linearizable: a majority confirms it. */
 	async readPublication(): Promise<Either.Either<Problem, string>> {
-		const {state} = this.#service;
-		const listing = await this.#client.readResources(state.viewVersion, READ_DEADLINE_MS)();
+		const {state} = this.#controlService;
+		const listing = await this.#controlClient.readResources(state.viewVersion, READ_DEADLINE_MS)();
 		this.#options.metrics.publicationReads.inc({outcome: Either.isRight(listing) ? 'answered' : 'unanswered'});
 		if (Either.isLeft(listing)) {
 			return listing;
@@ -248,6 +257,7 @@
 		return newest ? Either.right(newest.body) : Either.left(createProblem('notPublished'));
 	}
 
+	/** Handles a message from another host. */
 	receive(message: Message, connection: Connection): void {
 		switch (message.type) {
 			case 'watch': {
@@ -256,7 +266,7 @@
 			}
 
 			case 'offer': {
-				const decision = this.#placer.place(message, this.#options.clock.monotonicMs());
+				const decision = this.#scheduler.place(message, this.#options.clock.monotonicMs());
 				this.#options.metrics.placementDecisions.inc({decision: decision.type});
 				connection.send(decision);
 				break;
@@ -264,12 +274,12 @@
 
 			case 'shadow': {
 				const {type: _type, reader, runner, ...request} = message;
-				this.#placer.recordPlacement(request, reader, runner, this.#options.clock.monotonicMs());
+				this.#scheduler.recordPlacement(request, reader, runner, this.#options.clock.monotonicMs());
 				break;
 			}
 
 			case 'milestone': {
-				const decision = this.#placer.recordMilestone(message.id, message.stage, message.server, this.#options.clock.monotonicMs());
+				const decision = this.#scheduler.recordMilestone(message.id, message.stage, message.server, this.#options.clock.monotonicMs());
 				if (decision) {
 					connection.send(decision);
 				}
@@ -278,28 +288,28 @@
 			}
 
 			default: {
-				this.#service.receive(message, connection);
+				this.#controlService.receive(message, connection);
 			}
 		}
 	}
 
-	/** Follows the state that the log drives. */
+	/** Applies the control state after an entry of the replicated log was applied to it. */
 	handleStateChange(): void {
-		this.#onApplied();
+		this.#applyState();
 	}
 
-	/** Hands leadership over, then stops. */
+	/** Transfers leadership to another control host, then closes. */
 	async stop(): Promise<void> {
-		this.#service.transferLeadership();
+		this.#controlService.transferLeadership();
 		await this.close();
 	}
 
 	async close(): Promise<void> {
 		clearInterval(this.#timer);
-		this.#client.close();
+		this.#controlClient.close();
 		this.#publisher.close();
 		this.#subscription.close();
-		await this.#service.close();
+		await this.#controlService.close();
 		this.#listener.close();
 	}
 
@@ -307,14 +317,14 @@
 		return this.#options.clock.monotonicMs() - this.#startedMs > this.#options.announceIntervalMs * WARM_INTERVALS;
 	}
 
-	#isNew(): boolean {
+	#isStartup(): boolean {
 		const {firstStart, clock} = this.#options;
-		return firstStart && clock.monotonicMs() - this.#startedMs < NEW_MS;
+		return firstStart && clock.monotonicMs() - this.#startedMs < STARTUP_MS;
 	}
 
-	#noteMerge(merge: MergeResult, {server, incarnation, sequence, role, leaving}: Announcement): void {
-		if (merge === 'change') {
-			this.#logger.info(`Server ${server} has news.`, {
+	#handleMergeResult(result: MergeResult, {server, incarnation, sequence, role, leaving}: Announcement): void {
+		if (result === 'change') {
+			this.#logger.info(`Server ${server} announced a change.`, {
 				server, incarnation, sequence, role, leaving,
 			});
 			this.#publisher.notify();
@@ -322,76 +332,76 @@
 		}
 	}
 
-	#onApplied(): void {
+	#applyState(): void {
 		this.#updateEngines();
-		const {publication} = this.#service.state;
-		if (!publication || publication.version === this.#table?.config.version) {
+		const {publication} = this.#controlService.state;
+		if (!publication || publication.version === this.#routeTable?.config.version) {
 			return;
 		}
 
-		const catalogue = this.#options.protocol.parseRoutingConfig(publication.body);
-		if (Either.isLeft(catalogue)) {
-			this.#logger.error(`Publication ${publication.version} cannot be read.`, {version: publication.version, reason: catalogue.left.text});
+		const config = this.#options.protocol.parseRoutingConfig(publication.body);
+		if (Either.isLeft(config)) {
+			this.#logger.error(`Publication ${publication.version} is not a valid routing configuration.`, {version: publication.version, reason: config.left.text});
 			return;
 		}
 
-		this.#useCatalogue(catalogue.right);
+		this.#useRoutingConfig(config.right);
 	}
 
-	#useCatalogue(catalogue: RoutingConfig): void {
-		this.#table = new RouteTable(catalogue);
+	#useRoutingConfig(config: RoutingConfig): void {
+		this.#routeTable = new RouteTable(config);
 		this.#publisher.notify();
 		this.#updateEngines();
 	}
 
 	#updateEngines(): void {
-		const changes = this.#service.state.listOpenChanges();
+		const changes = this.#controlService.state.listOpenChanges();
 		const usable = this.registry.listUsable().filter(({server}) => !changes.some(change => excludesServer(change, server)));
-		this.#placer.updateEngines(listEngines(usable, this.#table));
+		this.#scheduler.updateEngines(listEngines(usable, this.#routeTable));
 	}
 
 	#tick(): void {
-		const silenced = this.registry.expire(this.#options.clock.monotonicMs());
-		if (silenced.length > 0) {
-			this.#logger.warn(`Servers are silent: ${silenced.join(', ')}.`, {servers: silenced});
+		const silentServers = this.registry.expire(this.#options.clock.monotonicMs());
+		if (silentServers.length > 0) {
+			this.#logger.warn(`Servers stopped announcing themselves: ${silentServers.join(', ')}.`, {servers: silentServers});
 			this.#publisher.notify();
 			this.#updateEngines();
 		}
 
-		this.#client.updateMembers(this.#service.listMembers());
+		this.#controlClient.updateMembers(this.#controlService.listMembers());
 		this.#updateGauges();
 		void this.#planRoles();
 	}
 
 	#updateGauges(): void {
 		const {metrics} = this.#options;
-		metrics.openPlacements.set(this.#placer.openCount);
+		metrics.openPlacements.set(this.#scheduler.openCount);
 		metrics.usableServers.set(this.registry.listUsable().length);
 		metrics.feedEntryHosts.set(this.#publisher.entryHostCount);
-		metrics.isLeader.set(this.#service.holdsLeaderLease ? 1 : 0);
-		metrics.hasMajority.set(this.#service.hasQuorum ? 1 : 0);
-		metrics.publicationVersion.set(this.#table?.config.version ?? 0);
+		metrics.isLeader.set(this.#controlService.holdsLeaderLease ? 1 : 0);
+		metrics.hasMajority.set(this.#controlService.hasQuorum ? 1 : 0);
+		metrics.publicationVersion.set(this.#routeTable?.config.version ?? 0);
 	}
 
 	async #planRoles(): Promise<void> {
 		const {clock} = this.#options;
 		const nowMs = clock.monotonicMs();
-		const {state} = this.#service;
-		const isDue = this.#service.holdsLeaderLease && this.#isWarm() && nowMs - this.#roleChangedMs > ROLE_DWELL_MS;
+		const {state} = this.#controlService;
+		const isDue = this.#controlService.holdsLeaderLease && this.#isWarm() && nowMs - this.#lastRoleChangeMs > ROLE_CHANGE_COOLDOWN_MS;
 		if (!isDue || state.listOpenChanges().length > 0) {
 			return;
 		}
 
-		const changes = this.#roles.plan(listEngines(this.registry.listUsable(), this.#table), {nowMs, isStartup: this.#isNew()});
+		const changes = this.#rolePlanner.plan(listEngines(this.registry.listUsable(), this.#routeTable), {nowMs, isStartup: this.#isStartup()});
 		if (changes.length > 0) {
-			this.#roleChangedMs = nowMs;
+			this.#lastRoleChangeMs = nowMs;
 		}
 
 		for (const change of changes) {
 			const command = createRoleChange(`${change.server}-${state.version}`, change, {nowMs, wallMs: clock.wallMs(), leaseUntilMs: nowMs});
-			this.#logger.info(`Plans that ${change.server} becomes ${change.role}.`, change);
+			this.#logger.info(`Planned a role change: server ${change.server} becomes ${change.role}.`, change);
 			this.#options.metrics.roleChanges.inc({role: change.role});
-			await this.#service.propose(command);
+			await this.#controlService.propose(command);
 		}
 	}
 }
@@ -401,6 +411,6 @@
 	return specification?.kind === 'publication' ? specification : undefined;
 }
 
-function isSame(a: Address, b: Address): boolean {
+function isSameAddress(a: Address, b: Address): boolean {
 	return a.address === b.address && a.port === b.port;
 }
--- a/src/daemon/entryhost.ts
+++ b/src/daemon/entryhost.ts
@@ -1,5 +1,5 @@
 /**
- * An entry host: serves callers by what the control hosts feed it.
+ * Entry host of the platform: serves callers with the configuration and the servers that the control hosts feed to it.
  *
  * @module
  */
@@ -28,7 +28,9 @@
 export type EntryHostOptions = {
 	readonly host: string;
 	readonly dataCentre: string;
+	/** Address to listen on for callers. */
 	readonly callerAddress: Address;
+	/** Control hosts to contact first. */
 	readonly seeds: readonly Address[];
 	readonly clock: Clock;
 	readonly random: Random;
@@ -36,36 +38,36 @@
 	readonly protocol: ProtocolAdapter;
 	readonly metrics: ServingMetrics;
 	readonly retryBudget: RetryBudgetLimits;
-	/** Time from the signal to stop to the end of the process, milliseconds. */
+	/** Time from SIGTERM until the process must have exited, in milliseconds. */
 	readonly graceMs: number;
 };
 
-/** The balancer asks once a second and turns away after two answers that are not ready. */
-const NOT_READY_MS = 2500;
-/** What is left of the time to stop when the last requests are broken off, milliseconds. */
+/** The load balancer checks readiness once per second and sends no more callers after two failed checks. */
+const LOAD_BALANCER_DELAY_MS = 2500;
+/** Time before the end of the grace period at which the remaining requests are aborted, in milliseconds. */
 const STOP_MARGIN_MS = 400;
 const POLL_MS = 50;
 
-/** A running entry host. Whoever started it stops it. */
+/** A running entry host. Whoever starts it must stop it. */
 export class EntryHost {
 	readonly #options: EntryHostOptions;
 	readonly #logger: Logger;
 	readonly #upstream = new Upstream();
-	readonly #local = new Scheduler();
+	readonly #localScheduler = new Scheduler();
 	readonly #subscription: FeedSubscription;
-	readonly #roster: ServerDiscovery;
-	readonly #budget: ServiceRetryBudget;
+	readonly #discovery: ServerDiscovery;
+	readonly #retryBudget: ServiceRetryBudget;
 	readonly #gateway: Gateway;
-	readonly #placing: PlacementClient;
-	#table: RouteTable | undefined;
+	readonly #placementClient: PlacementClient;
+	#routeTable: RouteTable | undefined;
 	#hostCount = 1;
 	#isStopping = false;
 
 	private constructor(options: EntryHostOptions) {
 		this.#options = options;
 		this.#logger = options.loggers('entry');
-		const {clock, random, dataCentre, protocol: dialect, metrics} = options;
-		this.#budget = new ServiceRetryBudget(options.retryBudget);
+		const {clock, random, dataCentre, protocol, metrics} = options;
+		this.#retryBudget = new ServiceRetryBudget(options.retryBudget);
 		this.#subscription = new FeedSubscription({
 			host: options.host,
 			dataCentre,
@@ -73,36 +75,36 @@
 			seeds: options.seeds,
 			clock,
 			logger: options.loggers('membership'),
-			readVersion: () => this.#table?.config.version ?? 0,
+			readVersion: () => this.#routeTable?.config.version ?? 0,
 			onFeed: (feed, control) => {
-				this.#onFeed(feed, control);
+				this.#handleFeed(feed, control);
 			},
 			onMessage: (message, control) => {
-				this.#placing.receive(message, control);
+				this.#placementClient.receive(message, control);
 			},
 		});
-		this.#roster = new ServerDiscovery(this.#subscription);
-		this.#placing = new PlacementClient(this.#subscription, this.#local, clock);
-		const core: ServingContext = {
+		this.#discovery = new ServerDiscovery(this.#subscription);
+		this.#placementClient = new PlacementClient(this.#subscription, this.#localScheduler, clock);
+		const context: ServingContext = {
 			dataCentre,
 			clock,
 			random,
-			protocol: dialect,
+			protocol,
 			metrics,
 			logger: options.loggers('routing'),
 			upstream: this.#upstream,
 			health: new HealthTracker(),
 			loadTracker: new LoadTracker(),
-			retryBudget: this.#budget,
-			placement: this.#placing,
-			listServers: () => this.#roster.listUsable(),
-			findServer: server => this.#roster.findServer(server),
+			retryBudget: this.#retryBudget,
+			placement: this.#placementClient,
+			listServers: () => this.#discovery.listUsable(),
+			findServer: server => this.#discovery.findServer(server),
 			countHosts: () => this.#hostCount,
 		};
-		this.#gateway = new Gateway({context: core, getRouteTable: () => this.#table});
+		this.#gateway = new Gateway({context, getRouteTable: () => this.#routeTable});
 	}
 
-	/** Listens for callers and subscribes to the control hosts. */
+	/** Starts listening for callers and subscribes to the feeds of the control hosts. */
 	static async start(options: EntryHostOptions): Promise<Either.Either<Problem, EntryHost>> {
 		const host = new EntryHost(options);
 		const listening = await host.#gateway.listen(options.callerAddress);
@@ -114,36 +116,36 @@
 		return Either.right(host);
 	}
 
-	/** Whether callers should come here. */
+	/** Whether this host can serve callers: it knows the routes and at least one usable server, and is not stopping. */
 	get isReady(): boolean {
-		return !this.#isStopping && this.#table !== undefined && this.#roster.listUsable().length > 0;
+		return !this.#isStopping && this.#routeTable !== undefined && this.#discovery.listUsable().length > 0;
 	}
 
-	/** Takes what may change while it runs: control hosts to know, and the budget of repeats. */
-	applySettings({seeds, retryBudget: budget}: Pick<EntryHostOptions, 'seeds' | 'retryBudget'>): void {
+	/** Applies the settings that may change at run time: additional control hosts and the retry budget. */
+	applySettings({seeds, retryBudget}: Pick<EntryHostOptions, 'seeds' | 'retryBudget'>): void {
 		this.#subscription.addSeeds(seeds);
-		this.#budget.updateLimits(budget);
+		this.#retryBudget.updateLimits(retryBudget);
 	}
 
-	/** Names of the servers that take new work, as this host sees it. */
+	/** Ids of the servers that take new requests, as far as this host knows. */
 	listServers(): string[] {
-		return this.#roster.listUsable().map(({server}) => server);
+		return this.#discovery.listUsable().map(({server}) => server);
 	}
 
-	/** Takes no new callers, finishes what runs, and stops; cuts nothing within its time. */
+	/** Stops accepting callers, waits for the running requests until shortly before the grace period ends, then closes. */
 	async stop(): Promise<void> {
 		const {clock, graceMs} = this.#options;
 		const startedMs = clock.monotonicMs();
 		this.#isStopping = true;
-		this.#logger.info('Stops: not ready any more.', {active: this.#gateway.activeCount});
+		this.#logger.info('Shutting down: reporting not ready.', {active: this.#gateway.activeCount});
 		this.#gateway.startDraining();
-		await sleep(Math.min(NOT_READY_MS, graceMs / 2));
+		await sleep(Math.min(LOAD_BALANCER_DELAY_MS, graceMs / 2));
 		this.#gateway.stopAccepting();
 		while (this.#gateway.activeCount > 0 && clock.monotonicMs() - startedMs < graceMs - STOP_MARGIN_MS) {
 			await sleep(POLL_MS);
 		}
 
-		this.#logger.info('Stopped.', {active: this.#gateway.activeCount});
+		this.#logger.info('Shutdown complete.', {active: this.#gateway.activeCount});
 		this.close();
 	}
 
@@ -153,33 +155,33 @@
 		this.#upstream.close();
 	}
 
-	#onFeed(feed: Feed, control: string): void {
-		const hasNews = this.#roster.merge(feed, control, this.#options.clock.monotonicMs());
+	#handleFeed(feed: Feed, control: string): void {
+		const hasChanges = this.#discovery.merge(feed, control, this.#options.clock.monotonicMs());
 		if (feed.entries > 0) {
 			this.#hostCount = feed.entries;
-			this.#budget.setHostCount(feed.entries);
+			this.#retryBudget.setHostCount(feed.entries);
 		}
 
-		const isNewer = feed.version > (this.#table?.config.version ?? 0);
+		const isNewer = feed.version > (this.#routeTable?.config.version ?? 0);
 		if (feed.publication && isNewer) {
-			this.#apply(feed.publication, feed.version, control);
+			this.#applyPublication(feed.publication, feed.version, control);
 		}
 
-		if (hasNews || (feed.publication && isNewer)) {
-			this.#local.updateEngines(listEngines(this.#roster.listUsable(), this.#table));
+		if (hasChanges || (feed.publication && isNewer)) {
+			this.#localScheduler.updateEngines(listEngines(this.#discovery.listUsable(), this.#routeTable));
 		}
 	}
 
-	#apply(bytes: Uint8Array, version: number, control: string): void {
+	#applyPublication(bytes: Uint8Array, version: number, control: string): void {
 		const text = inflatePublication(bytes);
-		const catalogue = Either.isLeft(text) ? text : this.#options.protocol.parseRoutingConfig(text.right);
-		if (Either.isLeft(catalogue)) {
-			this.#logger.error(`Publication ${version} cannot be read.`, {version, control, reason: catalogue.left.text});
+		const config = Either.isLeft(text) ? text : this.#options.protocol.parseRoutingConfig(text.right);
+		if (Either.isLeft(config)) {
+			this.#logger.error(`Publication ${version} is not a valid routing configuration.`, {version, control, reason: config.left.text});
 			return;
 		}
 
-		this.#table = new RouteTable(catalogue.right);
-		this.#gateway.applyLimits(catalogue.right.limits);
-		this.#logger.info(`Publication ${version} is in force here.`, {version, control, routes: catalogue.right.routes.length});
+		this.#routeTable = new RouteTable(config.right);
+		this.#gateway.applyLimits(config.right.limits);
+		this.#logger.info(`Applied publication ${version}.`, {version, control, routes: config.right.routes.length});
 	}
 }
--- a/src/daemon/host.ts
+++ b/src/daemon/host.ts
@@ -1,5 +1,5 @@
 /**
- * One process: the roles that its settings name, joined together, started and stopped.
+ * One host of the daemon: creates, connects, starts and stops the roles that its settings name.
  *
  * @module
  */
@@ -44,11 +44,11 @@
 const DEFAULT_HEADER_BYTES = 16_384;
 const DEFAULT_BODY_TIMEOUT_MS = 10_000;
 const DEFAULT_SHUTDOWN_MS = 600_000;
-/** How long the platform's balancer may need to see that this host is not ready. */
-const NOT_READY_MS = 1000;
+/** Time that the load balancer may need to notice that this host is not ready. */
+const LOAD_BALANCER_DELAY_MS = 1000;
 const POLL_MS = 50;
 
-/** A running process. Whoever started it stops it. */
+/** A running host. Whoever starts it must stop it. */
 export class Host {
 	readonly #options: HostOptions;
 	readonly #boot = randomUUID();
@@ -66,7 +66,7 @@
 		});
 	}
 
-	/** Starts the roles; a problem leaves nothing running. */
+	/** Starts the roles. If one of them fails to start, everything started before is closed. */
 	async start(): Promise<Either.Either<Problem, HostPorts>> {
 		const {settings, loggers} = this.#options;
 		const peerPort = await this.#listener.listen(settings.peer);
@@ -98,14 +98,14 @@
 		return this.#startEntry(peerPort.right);
 	}
 
-	/** Finishes what runs, hands over, and stops; cuts nothing within the time that the settings allow. */
+	/** Shuts down gracefully: transfers leadership, drains the entry role within `limits.shutdownMs`, then closes. */
 	async stop(): Promise<void> {
 		const logger = this.#options.loggers('daemon');
-		logger.info('Stops: not ready any more.');
+		logger.info('Shutting down: reporting not ready.');
 		this.#control?.transferLeadership();
 		await this.#entry?.drain(this.#options.settings.limits?.shutdownMs ?? DEFAULT_SHUTDOWN_MS);
 		await this.close();
-		logger.info('Stopped.');
+		logger.info('Shutdown complete.');
 	}
 
 	async close(): Promise<void> {
@@ -154,7 +154,7 @@
 	}
 }
 
-type EntryOptions = {
+type EntryRoleOptions = {
 	readonly settings: Settings;
 	readonly boot: string;
 	readonly clock: Clock;
@@ -164,59 +164,59 @@
 	readonly peerPort: number;
 };
 
-/** The entry role of a process. */
+/** The entry role of a host: serves callers, operators and announcements of backend servers over HTTP. */
 class EntryRole {
-	readonly #options: EntryOptions;
-	readonly #engines = new EngineClient();
-	readonly #servers = new PlainClient();
-	readonly #client: ControlClient;
+	readonly #options: EntryRoleOptions;
+	readonly #engineClient = new EngineClient();
+	readonly #plainClient = new PlainClient();
+	readonly #controlClient: ControlClient;
 	readonly #viewTask: ViewTask;
-	readonly #models: ModelHandler;
+	readonly #modelHandler: ModelHandler;
 	readonly #server: EntryServer;
 	readonly #directory: Directory;
-	readonly #fleet: ServerPool;
-	readonly #capture: WriteStream | undefined;
-	readonly #countedChanges = new Set<string>();
+	readonly #pool: ServerPool;
+	readonly #captureStream: WriteStream | undefined;
+	readonly #countedRoleChanges = new Set<string>();
 	#gossip: GossipTask | undefined;
 	#port = 0;
 
-	private constructor(options: EntryOptions, tls: {cert: Buffer; key: Buffer} | undefined) {
+	private constructor(options: EntryRoleOptions, tls: {cert: Buffer; key: Buffer} | undefined) {
 		this.#options = options;
 		const {settings, boot, clock, random, metrics, loggers} = options;
 		const {host, dataCentre} = settings;
 		const view = new ResourceView();
 		const journal = new RequestJournal();
 		this.#directory = new Directory(host);
-		this.#client = new ControlClient({
+		this.#controlClient = new ControlClient({
 			seeds: settings.control ?? [], clock, onViewPushed: message => {
 				this.#viewTask.receivePush(message);
 			},
 		});
-		this.#fleet = new ServerPool({directory: this.#directory, view, clock});
-		this.#capture = settings.captureFile === undefined ? undefined : createWriteStream(settings.captureFile, {flags: 'a'});
+		this.#pool = new ServerPool({directory: this.#directory, view, clock});
+		this.#captureStream = settings.captureFile === undefined ? undefined : createWriteStream(settings.captureFile, {flags: 'a'});
 		this.#viewTask = new ViewTask({
 			host,
 			boot,
 			view,
-			client: this.#client,
+			client: this.#controlClient,
 			clock,
 			logger: loggers('entry'),
-			countRunning: server => this.#fleet.loads.countInFlight(server),
-			readDemand: () => this.#fleet.readDemand(),
+			countRunning: server => this.#pool.loads.countInFlight(server),
+			readDemand: () => this.#pool.readDemand(),
 			findAnnouncement: server => this.#directory.findServer(server),
 			onChange: () => {
 				metrics.viewVersion.set(view.version);
 				this.#countRoleChanges(view);
 			},
 		});
-		this.#models = new ModelHandler({
+		this.#modelHandler = new ModelHandler({
 			dataCentre,
 			directory: this.#directory,
 			view,
-			pool: this.#fleet,
-			engineClient: this.#engines,
+			pool: this.#pool,
+			engineClient: this.#engineClient,
 			quarantine: new Quarantine({
-				client: this.#client, clock, host, boot,
+				client: this.#controlClient, clock, host, boot,
 			}),
 			journal,
 			metrics,
@@ -225,7 +225,7 @@
 			logger: loggers('routing'),
 			broadcast: fact => this.#gossip?.publish(fact, true),
 			onFinished: record => {
-				this.#record(record);
+				this.#writeCapture(record);
 			},
 		});
 		this.#server = new EntryServer({
@@ -239,26 +239,26 @@
 			tls,
 			operatorKeys: settings.operatorKeys,
 			callerKeys: settings.callerKeys,
-			models: this.#models,
+			models: this.#modelHandler,
 			services: new ServiceHandler({
-				host, boot, view, pool: this.#fleet, client: this.#client, plainClient: this.#servers, journal, metrics, clock, random, logger: loggers('routing'),
+				host, boot, view, pool: this.#pool, client: this.#controlClient, plainClient: this.#plainClient, journal, metrics, clock, random, logger: loggers('routing'),
 			}),
 			operators: new OperatorHandler({
-				host, client: this.#client, view, viewTask: this.#viewTask, directory: this.#directory, journal, clock,
+				host, client: this.#controlClient, view, viewTask: this.#viewTask, directory: this.#directory, journal, clock,
 			}),
-			pool: this.#fleet,
+			pool: this.#pool,
 			metrics,
 			logger: loggers('entry'),
 			isReady: () => this.#viewTask.isReady,
 			onAnnouncement: announcement => {
 				const fact = {type: 'server', announcement} as const;
 				this.#gossip?.publish(fact);
-				this.#fleet.handleFact(fact);
+				this.#pool.handleFact(fact);
 			},
 		});
 	}
 
-	static async start(options: EntryOptions): Promise<Either.Either<Problem, EntryRole>> {
+	static async start(options: EntryRoleOptions): Promise<Either.Either<Problem, EntryRole>> {
 		const tls = await readTls(options.settings);
 		if (Either.isLeft(tls)) {
 			return tls;
@@ -284,7 +284,7 @@
 		return this.#viewTask.ageMs;
 	}
 
-	/** Engines that are announced and not leaving. */
+	/** Announced engines that take new work. */
 	listEngines(): Announcement[] {
 		return this.#directory.listServers(this.#options.clock.monotonicMs())
 			.filter(({kind, leaving}) => kind === 'engine' && leaving !== true);
@@ -294,15 +294,15 @@
 		this.#gossip?.receive(message);
 	}
 
-	/** Leaves the fleet: not ready, no new connection, then waits for what runs. */
-	async drain(withinMs: number): Promise<void> {
+	/** Reports not ready, tells the other hosts that it leaves, waits for the running requests and releases the view lease. */
+	async drain(timeoutMs: number): Promise<void> {
 		const {clock} = this.#options;
-		const untilMs = clock.monotonicMs() + withinMs;
+		const deadlineMs = clock.monotonicMs() + timeoutMs;
 		this.#server.beginStop();
 		this.#gossip?.leave();
-		await sleep(NOT_READY_MS);
+		await sleep(LOAD_BALANCER_DELAY_MS);
 		this.#server.stopAccepting();
-		while (this.#server.activeCount > 0 && clock.monotonicMs() < untilMs) {
+		while (this.#server.activeCount > 0 && clock.monotonicMs() < deadlineMs) {
 			await sleep(POLL_MS);
 		}
 
@@ -311,20 +311,20 @@
 
 	async close(): Promise<void> {
 		this.#server.close();
-		this.#models.close();
+		this.#modelHandler.close();
 		this.#viewTask.close();
-		this.#client.close();
+		this.#controlClient.close();
 		this.#gossip?.close();
-		this.#capture?.end();
-		await this.#engines.close();
-		await this.#servers.close();
+		this.#captureStream?.end();
+		await this.#engineClient.close();
+		await this.#plainClient.close();
 	}
 
 	#countRoleChanges(view: ResourceView): void {
 		for (const {name, specification, status} of view.list('change')) {
 			const isRoleDone = specification.kind === 'change' && specification.action === 'role' && status?.phase === 'done';
-			if (isRoleDone && !this.#countedChanges.has(name)) {
-				this.#countedChanges.add(name);
+			if (isRoleDone && !this.#countedRoleChanges.has(name)) {
+				this.#countedRoleChanges.add(name);
 				this.#options.metrics.roleChanges.inc();
 			}
 		}
@@ -343,13 +343,14 @@
 			random,
 			logger: loggers('membership'),
 			onFact: fact => {
-				this.#fleet.handleFact(fact);
+				this.#pool.handleFact(fact);
 			},
 		});
 	}
 
-	#record(record: FinishedRequest): void {
-		this.#capture?.write(`${JSON.stringify(record)}\n`);
+	/** Appends a finished request to the capture file, if there is one. */
+	#writeCapture(record: FinishedRequest): void {
+		this.#captureStream?.write(`${JSON.stringify(record)}\n`);
 	}
 }
 
