--- a/src/serving/gateway.ts
+++ b/src/serving/gateway.ts
@@ -208,7 +208,7 @@
 
 		const {problem, status} = caller;
 		logger.info(`Request ${outcome}.`, {
-			request: call?.head.id, route, service: call?.service, version: call?.routeTable.config.version, status, durationMs, ...call?.logFields, code: problem?.code, reason: problem?.text,
+			request: call?.head.id, route, service: call?.service, version: call?.routeTable.config.version, status, tookMs: durationMs, ...call?.logFields, code: problem?.code, reason: problem?.text,
 		});
 	}
 }
